--- a/examples/settle.rs
+++ b/crates/balancer/examples/settle.rs
@@ -1,8 +1,8 @@
 //! What a settle costs and holds as the fleet grows: `cargo run --release --example settle -- NODES ROUTERS`.
 //! A router is asked five retrievals of 53 parts a second for 20 s of its own clock; each shot is answered in 20 ms.
 
+use balancer::{Actions, Balance, End, Events, Listing, Micros, Node, Outcome, Phase, Settings, Value};
 use std::time::Instant;
-use yewpier::{Actions, Balance, End, Events, Listing, Micros, Node, Outcome, Phase, Settings, Value};
 
 const TICK: Micros = 5_000;
 const PARTS: usize = 53;
--- a/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -5,7 +5,7 @@
 //! All times are whole microseconds; nodes, retrievals and parts are small indices that the front hands out.
 //!
 //! ```
-//! use yewpier::{Actions, Balance, End, Events, Listing, Micros, Node, Outcome, Phase, Settings, Value};
+//! use balancer::{Actions, Balance, End, Events, Listing, Micros, Node, Outcome, Phase, Settings, Value};
 //!
 //! #[derive(Default)]
 //! struct Tape(Vec<String>);
--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,6 +1,6 @@
 use crate::{operator, platform};
 use argh::FromArgs;
-use yewpier_control::Options;
+use control_plane::Options;
 
 /// Read a configuration and the operator's file and say what is wrong with them.
 #[derive(FromArgs)]
--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -1,7 +1,7 @@
 use crate::{log_to_stderr, operator, platform};
 use argh::FromArgs;
+use control_plane::{Options, dump, serve};
 use std::time::{SystemTime, UNIX_EPOCH};
-use yewpier_control::{Options, dump, serve};
 
 /// Hand out decisions to other proxies through xDS until told to end.
 #[derive(FromArgs)]
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,9 +7,9 @@
 mod version;
 
 use argh::FromArgs;
+use operator_config::{File, LogFormat};
+use query_router::config::Config;
 use std::process::ExitCode;
-use yewpier_operator::{File, LogFormat};
-use yewpier_router::config::Config;
 
 /// A query router that serves a retrieval from many shards.
 #[derive(FromArgs)]
@@ -63,7 +63,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("yewpier: {why}");
+            eprintln!("query-router: {why}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -15,9 +15,9 @@
 
 impl Serve {
     pub fn run(self) -> Result<(), String> {
-        let signals = yewpier_router::heed_signals()?;
+        let signals = query_router::heed_signals()?;
         log_to_stderr(&mut operator(self.operator)?)?;
         let (config, path) = platform(self.config)?;
-        yewpier_router::serve(signals, config, path)
+        query_router::serve(signals, config, path)
     }
 }
--- a/crates/cli/src/version.rs
+++ b/crates/cli/src/version.rs
@@ -7,7 +7,7 @@
 
 impl Version {
     pub fn run(self) -> Result<(), String> {
-        println!("yewpier {}", env!("CARGO_PKG_VERSION"));
+        println!("query-router {}", env!("CARGO_PKG_VERSION"));
         Ok(())
     }
 }
--- a/crates/cli/tests/loopback.rs
+++ b/crates/cli/tests/loopback.rs
@@ -4,7 +4,7 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::process::{Child, ChildStderr, Command, Stdio};
-use yewpier_standins::{Discovery, data_node, member};
+use test_servers::{Discovery, data_node, member};
 
 /// The body of the next answer on a connection that is kept.
 fn answer(stream: &mut BufReader<TcpStream>) -> (String, String) {
@@ -37,7 +37,7 @@
             "services": [{"name": "look", "idempotency": "read_like", "deadlineNs": 20_000_000_000u64}]}});
     let path = std::env::temp_dir().join(format!("yewpier-{name}-{}.json", std::process::id()));
     std::fs::write(&path, config.to_string()).expect("a file");
-    let mut router = Command::new(env!("CARGO_BIN_EXE_yewpier"))
+    let mut router = Command::new(env!("CARGO_BIN_EXE_query-router"))
         .args(["serve", "--config", path.to_str().expect("a path")])
         .stderr(Stdio::piped())
         .spawn()
--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -8,7 +8,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
-use yewpier_standins::{Discovery, member};
+use test_servers::{Discovery, member};
 
 const LONG: Duration = Duration::from_secs(20);
 
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -46,7 +46,7 @@
 
     /// A router that reads this configuration and has said nothing yet.
     pub fn spawn(path: &str) -> Router {
-        let mut child = Command::new(env!("CARGO_BIN_EXE_yewpier"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_query-router"))
             .args(["serve", "--config", path])
             .stderr(Stdio::piped())
             .spawn()
--- a/crates/control/examples/measure.rs
+++ b/crates/control-plane/examples/measure.rs
@@ -1,6 +1,6 @@
 //! Measures the control service with stand-in proxies on loopback:
 //!
-//!     cargo run --release -p yewpier-control --example measure -- PROXIES NODES [delta|sotw] [CHANGES]
+//!     cargo run --release -p control-plane --example measure -- PROXIES NODES [delta|sotw] [CHANGES]
 //!
 //! The service runs on threads of its own, as it does by itself; proxies have four more. Each change drains one
 //! node and is over for a proxy when it no longer uses the node. The baseline hands out the list of nodes as it is:
@@ -9,12 +9,12 @@
 #[path = "../tests/rig/mod.rs"]
 mod rig;
 
+use query_router::config::Config;
 use rig::{address, config, entry, options};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use test_servers::{Discovery, Proxy, Script};
 use tokio::sync::oneshot;
-use yewpier_router::config::Config;
-use yewpier_standins::{Discovery, Proxy, Script};
 
 const CELLS: usize = 16;
 
@@ -61,8 +61,8 @@
     let (ready, at_service) = oneshot::channel();
     let (_stop, stopped) = oneshot::channel();
     std::thread::spawn(move || {
-        let runtime = yewpier_control::runtime().expect("a runtime");
-        let running = yewpier_control::run(config, None, options, ready, stopped);
+        let runtime = control_plane::runtime().expect("a runtime");
+        let running = control_plane::run(config, None, options, ready, stopped);
         runtime.block_on(async { tokio::spawn(running).await }).expect("a task").expect("it runs");
     });
     let service = at_service.await.expect("it listens");
--- a/crates/control/src/catalog.rs
+++ b/crates/control-plane/src/catalog.rs
@@ -6,6 +6,7 @@
 use crate::kinds::{Kind, Outline, Resource};
 use crate::options::Options;
 use crate::plan::{Health, Plan, Single, set_name, single_name};
+use balancer::Micros;
 use prost::Message;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -20,7 +21,6 @@
 use xds_api::pb::envoy::r#type::matcher::v3::RegexMatcher;
 use xds_api::pb::envoy::r#type::v3::{FractionalPercent, Percent, fractional_percent::DenominatorType};
 use xds_api::pb::google::protobuf::{Any, Duration, UInt32Value};
-use yewpier::Micros;
 
 /// The name of the one route configuration, and of the listener that a proxy opens.
 pub const ROUTES: &str = "desk";
--- a/crates/control/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -4,13 +4,13 @@
 use crate::control::{Control, Stream};
 use crate::kinds::{Kind, Resource};
 use crate::session::Response;
+use balancer::Micros;
 use prost::{Message, Name};
 use std::net::SocketAddr;
 use xds_api::pb::envoy::config::core::v3::Node;
 use xds_api::pb::envoy::service::discovery::v3 as ads;
 use xds_api::pb::envoy::service::load_stats::v3 as lrs;
 use xds_api::pb::google::protobuf::{Any, Duration};
-use yewpier::Micros;
 
 fn id_and_zone(node: &Option<Node>) -> Option<(&str, &str)> {
     let node = node.as_ref()?;
--- a/crates/control/src/control.rs
+++ b/crates/control-plane/src/control.rs
@@ -11,13 +11,13 @@
 use crate::options::Options;
 use crate::plan::Plan;
 use crate::session::{Heard, Mode, Response, Session};
+use balancer::{Listing, Micros, Node};
+use query_router::config::Config;
 use serde_json::Value as Json;
+use settings_schema::ids::Ids;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
-use yewpier::{Listing, Micros, Node};
-use yewpier_router::config::Config;
-use yewpier_terms::ids::Ids;
 
 /// A stream's number; numbers are not used again.
 pub type Stream = u64;
--- a/crates/control/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -4,8 +4,8 @@
 use crate::kinds::Kind;
 use crate::ledger::Proxy;
 use crate::session::Session;
+use balancer::{Micros, Node};
 use std::collections::{BTreeMap, BTreeSet};
-use yewpier::{Micros, Node};
 
 #[derive(Debug)]
 struct Departure {
--- a/crates/control/src/dump.rs
+++ b/crates/control-plane/src/dump.rs
@@ -4,9 +4,9 @@
 use crate::control::Control;
 use crate::kinds::Kind;
 use crate::options::Options;
+use balancer::Micros;
+use query_router::config::Config;
 use serde_json::{Value as Json, json};
-use yewpier::Micros;
-use yewpier_router::config::Config;
 
 /// Built from the list in the configuration; nothing is asked and nothing is served.
 pub fn dump(now: Micros, config: &Config, options: Options, id: &str, zone: &str) -> Result<Json, String> {
--- a/crates/control/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -1,12 +1,12 @@
 //! The data nodes: the list as it was told, and the module that says how each of them stands. It decides nothing
 //! itself; the module runs here as it runs in a router, tick by tick.
 
+use balancer::{Actions, Balance, End, Events, Listing, Micros, Node, Settings, Standing, Sums};
+use query_router::config::{Config, numbered};
 use serde_json::Value as Json;
+use settings_schema::ids::Ids;
+use settings_schema::names;
 use std::net::SocketAddr;
-use yewpier::{Actions, Balance, End, Events, Listing, Micros, Node, Settings, Standing, Sums};
-use yewpier_router::config::{Config, numbered};
-use yewpier_terms::ids::Ids;
-use yewpier_terms::names;
 
 /// Nodes that a list may name: beyond them entries are passed over.
 const MOST_NODES: usize = 100_000;
--- a/crates/control/src/loads.rs
+++ b/crates/control-plane/src/loads.rs
@@ -5,8 +5,8 @@
 //! saw the node answer it makes half, and the module bars for more than half.
 
 use crate::ledger::Proxy;
+use balancer::{Micros, Node, Sums};
 use std::collections::BTreeMap;
-use yewpier::{Micros, Node, Sums};
 
 /// Entries that one report may have, and the most that one may count.
 pub const MOST_ENTRIES: usize = 20_000;
--- a/crates/control/src/options.rs
+++ b/crates/control-plane/src/options.rs
@@ -1,9 +1,9 @@
 //! What the operator's file says of the control service, section `[control]`.
 
+use balancer::Micros;
+use operator_config::Section;
 use std::net::SocketAddr;
 use std::time::Duration;
-use yewpier::Micros;
-use yewpier_operator::Section;
 
 #[derive(Clone, Debug)]
 pub struct Options {
@@ -100,7 +100,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use yewpier_operator::File;
+    use operator_config::File;
 
     #[test]
     fn what_the_section_lacks_is_named() {
--- a/crates/control/src/plan.rs
+++ b/crates/control-plane/src/plan.rs
@@ -4,9 +4,9 @@
 
 use crate::fleet::{Fleet, Seen, Site};
 use crate::ledger::{divisor, step_down};
+use balancer::{Micros, Node, Standing};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use yewpier::{Micros, Node, Standing};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
--- a/crates/control/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -7,6 +7,8 @@
 use crate::session::{Mode, Response};
 use crate::tls::{Tls, claims};
 use crate::watch::watch;
+use balancer::{Listing, Micros};
+use query_router::config::Config;
 use serde_json::Value as Json;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -28,8 +30,6 @@
 use tonic::{Request, Status, Streaming, async_trait};
 use xds_api::pb::envoy::service::discovery::v3 as ads;
 use xds_api::pb::envoy::service::load_stats::v3 as lrs;
-use yewpier::{Listing, Micros};
-use yewpier_router::config::Config;
 
 /// Messages that may wait for the machine, and responses that may wait for one stream.
 const MOST_EVENTS: usize = 1024;
--- a/crates/control/src/session.rs
+++ b/crates/control-plane/src/session.rs
@@ -6,9 +6,9 @@
 //! never a queue of history; only endpoints that must leave at once may overtake, `MOST_OUT` at most.
 
 use crate::kinds::{ByName, Kind, Outline, Resource, version};
+use balancer::Micros;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
-use yewpier::Micros;
 
 /// Responses of one type that may wait for an answer at once; with fewer, drains in quick succession waited for a
 /// slow proxy's answers and came after their grace time.
--- a/crates/control/src/watch.rs
+++ b/crates/control-plane/src/watch.rs
@@ -1,5 +1,6 @@
 //! The watch of discovery: the list, then each change as it is told, until the connection ends.
 
+use balancer::Listing;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper_util::rt::TokioIo;
@@ -9,7 +10,6 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::Sender;
 use tokio::time::timeout;
-use yewpier::Listing;
 
 /// Discovery says at least an empty line this often; twice that is silence.
 const EMPTY_LINES: Duration = Duration::from_secs(2);
--- a/crates/control/tests/loopback.rs
+++ b/crates/control-plane/tests/loopback.rs
@@ -3,16 +3,16 @@
 #[path = "rig/mod.rs"]
 mod rig;
 
+use control_plane::Options;
+use query_router::config::Config;
 use rig::{address, config, entry, options};
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
+use test_servers::{Discovery, Proxy, Script};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::oneshot;
-use yewpier_control::Options;
-use yewpier_router::config::Config;
-use yewpier_standins::{Discovery, Proxy, Script};
 
 /// A service that runs until it is dropped or stopped.
 struct Running {
@@ -29,7 +29,7 @@
     async fn start_with(discovery: SocketAddr, cells: usize, options: Options) -> Running {
         let config = Config { discovery, ..config(cells, cells.min(2), Vec::new()) };
         let ((ready, at), (stop, stopped)) = (oneshot::channel(), oneshot::channel());
-        let task = tokio::spawn(yewpier_control::run(config, None, options, ready, stopped));
+        let task = tokio::spawn(control_plane::run(config, None, options, ready, stopped));
         Running { at: at.await.expect("it listens"), stop, task }
     }
 
@@ -192,8 +192,8 @@
 async fn a_node_out_of_reach_from_here_is_barred() {
     let discovery = Discovery::start(7, (0..4).map(|node| entry(node, 4, "ready", 0)).collect());
     // One node answers, at an address of its own; at the others nothing listens.
-    let node = yewpier_standins::data_node();
-    let there = yewpier_standins::member("n0000", &node.to_string(), "east", 0, "ready", 0);
+    let node = test_servers::data_node();
+    let there = test_servers::member("n0000", &node.to_string(), "east", 0, "ready", 0);
     discovery.tell(vec![there]);
     let service = Running::start(&discovery, 4, "probe_every = 100ms\nreport_every = 100ms").await;
     let proxy = proxy(service.at, Script::new("p", "east", true));
@@ -223,7 +223,7 @@
     let channel = steady.channel().await.expect("a connection");
     for size in [100, 5 << 20] {
         let names = vec!["x".repeat(size)];
-        let status = yewpier_standins::odd_request(channel.clone(), "odd", names).await;
+        let status = test_servers::odd_request(channel.clone(), "odd", names).await;
         assert!(!matches!(status.code(), tonic::Code::Ok), "{status:?}");
     }
     discovery.tell(vec![entry(1, 4, "draining", 0)]);
@@ -309,7 +309,7 @@
         let options = options(text);
         async move {
             let _keep = stop.0;
-            yewpier_control::run(config(), None, options, ready, stop.1).await
+            control_plane::run(config(), None, options, ready, stop.1).await
         }
     };
     assert_eq!(
--- a/crates/control/tests/machine.rs
+++ b/crates/control-plane/tests/machine.rs
@@ -2,15 +2,15 @@
 
 mod rig;
 
+use balancer::{Listing, Micros};
+use control_plane::{Control, Effect, Fault, Kind, Mode, Service};
 use rig::{Rig, SECOND, START, address, config, options};
 use serde_json::Value as Json;
 use std::sync::Arc;
-use yewpier::{Listing, Micros};
-use yewpier_control::{Control, Effect, Fault, Kind, Mode, Service};
-use yewpier_standins::{Script, View};
+use test_servers::{Script, View};
 
 /// What two proxies of one zone would do alike.
-fn acts(view: &View) -> (Vec<String>, Vec<(String, Vec<yewpier_standins::Backend>)>) {
+fn acts(view: &View) -> (Vec<String>, Vec<(String, Vec<test_servers::Backend>)>) {
     let sets = view.endpoints.iter().filter(|(name, _)| name.starts_with("shards"));
     (view.listeners.iter().cloned().collect(), sets.map(|(n, e)| (n.clone(), e.clone())).collect())
 }
@@ -67,7 +67,7 @@
     }
 }
 
-const TICKS: Micros = 2 * yewpier_control::TICK;
+const TICKS: Micros = 2 * control_plane::TICK;
 
 #[test]
 fn a_drain_passes_what_waits_for_an_answer() {
@@ -501,7 +501,7 @@
     (0..60).for_each(drawn);
 }
 
-/// `cargo test --release -p yewpier-control --test machine -- --ignored`
+/// `cargo test --release -p control-plane --test machine -- --ignored`
 #[test]
 #[ignore = "a long run of the same, some minutes"]
 fn whatever_fails_together_for_two_thousand_seeds() {
--- a/crates/control/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -2,15 +2,15 @@
 //! proxy after that proxy's lag, and what must hold is looked at after each step.
 #![allow(dead_code)]
 
+use balancer::{Listing, Micros};
+use control_plane::{Control, Effect, Mode, Options, Response, Service, Stream, TICK};
+use operator_config::File;
+use query_router::config::Config;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use test_servers::{Answer, Script, Subscriber, member};
 use xds_api::pb::google::protobuf::Any;
-use yewpier::{Listing, Micros};
-use yewpier_control::{Control, Effect, Mode, Options, Response, Service, Stream, TICK};
-use yewpier_operator::File;
-use yewpier_router::config::Config;
-use yewpier_standins::{Answer, Script, Subscriber, member};
 
 /// When runs begin.
 pub const START: Micros = 1_000_000_000_000;
@@ -194,7 +194,7 @@
         }
     }
 
-    fn say(&mut self, i: usize, asks: Vec<yewpier_standins::Ask>) {
+    fn say(&mut self, i: usize, asks: Vec<test_servers::Ask>) {
         let script = self.sims[i].of.script.clone();
         let node = Some((script.id.as_str(), script.zone.as_str()));
         for ask in asks {
@@ -269,7 +269,7 @@
         let sim = &mut self.sims[i];
         let Some((_, response)) = sim.inbox.pop_front() else { return };
         let content =
-            |r: &yewpier_control::Resource| Any { type_url: response.kind.url(), value: r.body.clone() };
+            |r: &control_plane::Resource| Any { type_url: response.kind.url(), value: r.body.clone() };
         let put = response.resources.iter().map(|resource| {
             let any = (!response.heartbeat).then(|| content(resource));
             (resource.name.clone(), resource.version.clone(), any)
--- a/crates/operator/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! ```
 //! use std::time::Duration;
-//! use yewpier_operator::File;
+//! use operator_config::File;
 //!
 //! let mut file = File::parse("yewpier.ini", "[control]\nlisten = 127.0.0.1:18000\nlease = 2s\nburst = 64KiB\n")?;
 //! let mut control = file.section("control");
--- a/crates/router/src/clients.rs
+++ b/crates/query-router/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::http::{self, MOST_REQUEST, Request};
 use crate::query::Terms;
 use crate::reducer::{Desk, Kind, Peer, Router};
-use yewpier::{Events, Micros};
+use balancer::{Events, Micros};
 
 /// How long a new connection is left in peace without a request, as the operators state it.
 const SILENT: Micros = 2_000_000;
--- a/crates/router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -3,10 +3,10 @@
 #[cfg(test)]
 mod tests;
 
+use balancer::{Micros, Settings};
 use serde_json::Value as Json;
+use settings_schema::names;
 use std::net::SocketAddr;
-use yewpier::{Micros, Settings};
-use yewpier_terms::names;
 
 #[derive(Debug)]
 pub struct Config {
--- a/crates/router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -6,11 +6,11 @@
 use crate::objects::{MOST_LIST, Next, Objects};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
+use balancer::{Events, Listing, Micros, Phase};
 use serde_json::Value as Json;
+use settings_schema::ids::Ids;
+use settings_schema::names;
 use std::net::SocketAddr;
-use yewpier::{Events, Listing, Micros, Phase};
-use yewpier_terms::ids::Ids;
-use yewpier_terms::names;
 
 /// How often discovery says at least an empty line.
 const EMPTY_LINES: Micros = 2_000_000;
--- a/crates/router/src/effects.rs
+++ b/crates/query-router/src/effects.rs
@@ -1,8 +1,8 @@
 //! What the loop tells the reducer and what the reducer asks of the loop. Both are plain values.
 
+use balancer::Micros;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use yewpier::Micros;
 
 /// The index of a connection; the reducer hands it out and may use it again once it was closed.
 pub type Conn = usize;
--- a/crates/router/src/frames.rs
+++ b/crates/query-router/src/frames.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use yewpier::Outcome;
+use balancer::Outcome;
 
 /// The longest line before a value, and the longest frame: that and the protocol's limit on a body.
 const MOST_LINE: usize = 1024;
--- a/crates/router/src/gather.rs
+++ b/crates/query-router/src/gather.rs
@@ -3,11 +3,11 @@
 use crate::counters::must;
 use crate::effects::{Conn, Piece};
 use crate::reducer::Desk;
+use balancer::{End, Micros, Node};
 use serde_json::{Value as Json, json};
 use slab::Slab;
 use std::collections::HashSet;
 use std::rc::Rc;
-use yewpier::{End, Micros, Node};
 
 #[derive(Debug)]
 pub struct Retrieval {
--- a/crates/router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -1,5 +1,5 @@
 //! The query router on sockets: `serve` runs it until it is told to end. `docs/architecture.md` goes through
-//! it file by file; the binary `yewpier` in `crates/cli` starts it.
+//! it file by file; the binary `query-router` in `crates/cli` starts it.
 
 mod clients;
 pub mod config;
--- a/crates/router/src/links.rs
+++ b/crates/query-router/src/links.rs
@@ -4,11 +4,11 @@
 use crate::frames::{self, Read};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
+use balancer::{Events, Micros, Node, Outcome};
+use settings_schema::names;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
-use yewpier::{Events, Micros, Node, Outcome};
-use yewpier_terms::names;
 
 /// Where what can't be used is searched for the id of the part that it answers.
 const BEGIN: usize = 256;
--- a/crates/router/src/query.rs
+++ b/crates/query-router/src/query.rs
@@ -4,8 +4,8 @@
 mod tests;
 
 use crate::http::Request;
+use balancer::Micros;
 use serde_json::Value as Json;
-use yewpier::Micros;
 
 /// One part of a query: its shard, its share of the answer, and a rough figure for its work.
 pub type Segment = (usize, f64, Micros);
--- a/crates/router/src/reducer.rs
+++ b/crates/query-router/src/reducer.rs
@@ -12,9 +12,9 @@
 use crate::gather::Gather;
 use crate::links::Link;
 use crate::scatter::Scatter;
+use balancer::{Actions, Balance, End, Events, Micros, Node, Outcome};
 use slab::Slab;
 use std::collections::BTreeSet;
-use yewpier::{Actions, Balance, End, Events, Micros, Node, Outcome};
 
 /// Descriptors that are not connections: standard ones, the listener, the loop's own, one just accepted.
 const OTHER_FILES: usize = 16;
--- a/crates/router/src/reducer/tests.rs
+++ b/crates/query-router/src/reducer/tests.rs
@@ -7,9 +7,9 @@
 use super::*;
 use crate::effects::Piece;
 use crate::frames;
+use balancer::Listing;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use yewpier::Listing;
 
 const START: Micros = 1_700_000_000_000_000;
 
--- a/crates/router/src/scatter.rs
+++ b/crates/query-router/src/scatter.rs
@@ -6,9 +6,9 @@
 use crate::gather::Shot;
 use crate::links::{Left, ShotId};
 use crate::reducer::{Alarm, Desk, Router};
+use balancer::{Events, Micros, Node, Outcome};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use yewpier::{Events, Micros, Node, Outcome};
 
 /// What is known of a data node, and the connections to it.
 #[derive(Clone, Debug, Default)]
--- a/crates/router/src/serve.rs
+++ b/crates/query-router/src/serve.rs
@@ -7,6 +7,7 @@
 use crate::effects::{Conn, Effect, Event, Piece};
 use crate::http::{MOST_BODY, MOST_REQUEST};
 use crate::reducer::Router;
+use balancer::Micros;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
 use calloop::{EventLoop, Interest, LoopHandle, Mode, PostAction, Readiness, RegistrationToken};
@@ -17,7 +18,6 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use yewpier::Micros;
 
 /// An empty buffer above this is given back.
 const KEPT_INPUT: usize = 4096;
--- a/crates/terms/src/names.rs
+++ b/crates/settings-schema/src/names.rs
@@ -4,8 +4,8 @@
 #[cfg(test)]
 mod tests;
 
+use balancer::{Micros, Phase, Settings, Value};
 use serde_json::Value as Json;
-use yewpier::{Micros, Phase, Settings, Value};
 
 const SETTINGS: &[(&str, &str)] = &[
     ("ceilings.cancelling", "limits.withdraw"),
--- a/crates/wirehost/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,6 +1,6 @@
 //! The simulator wire's codes, and ours.
 
-use yewpier::{Listing, Outcome};
+use balancer::{Listing, Outcome};
 
 pub fn outcome(code: &str) -> Option<Outcome> {
     Some(match code {
--- a/crates/wirehost/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,13 +2,13 @@
 
 use crate::codes;
 use crate::line::Line;
+use balancer::{Actions, Balance, End, Events, Listing, Micros, Node, Phase};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
+use settings_schema::ids::Ids;
+use settings_schema::names;
 use std::collections::HashMap;
 use std::io::Write;
-use yewpier::{Actions, Balance, End, Events, Listing, Micros, Node, Phase};
-use yewpier_terms::ids::Ids;
-use yewpier_terms::names;
 
 /// One line of a numbered list: node, zone, cell, phase, scale and start.
 pub type Row = (String, usize, usize, Phase, f64, Micros);
--- a/crates/wirehost/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,16 +1,16 @@
 //! Hosts many routers on the simulator's wire: batches of events on standard input, one reply each on
-//! standard output. It translates and decides nothing; the decisions are in the crate `yewpier`.
+//! standard output. It translates and decides nothing; the decisions are in the crate `balancer`.
 
 mod codes;
 mod instance;
 mod line;
 
+use balancer::Listing;
 use instance::{Instance, Row};
 use line::Line;
+use settings_schema::names;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
-use yewpier::Listing;
-use yewpier_terms::names;
 
 #[derive(Default)]
 struct Host {
@@ -139,7 +139,7 @@
     match run() {
         Ok(()) => std::process::ExitCode::SUCCESS,
         Err(why) => {
-            eprintln!("yewpier-wirehost: {why}");
+            eprintln!("simulator-adapter: {why}");
             std::process::ExitCode::FAILURE
         }
     }
--- a/crates/wirehost/tests/transcript.rs
+++ b/crates/simulator-adapter/tests/transcript.rs
@@ -12,7 +12,7 @@
 
 /// What the binary writes, what it says is wrong, and whether it ended well.
 fn run(input: &str) -> (String, String, bool) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_yewpier-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
