--- a/crates/balancer/examples/settle.rs
+++ b/crates/balancer/examples/settle.rs
@@ -31,18 +31,18 @@
     let cells = (nodes / 2).max(1);
     let mut settings = Settings::default();
     for (name, value) in [
-        ("shards.cells", cells as f64),
-        ("shards.width", 1.0),
+        ("shards.replica_sets", cells as f64),
+        ("shards.replica_sets_per_shard", 1.0),
         ("routers", routers as f64),
-        ("calls.parts", 4.0),
-        ("limits.shots", 3.0),
-        ("tick_us", TICK as f64),
-        ("class.0.agreed_us", 3e5),
+        ("batch.max_shard_requests", 4.0),
+        ("limits.max_attempts", 3.0),
+        ("decision_interval_us", TICK as f64),
+        ("class.0.latency_objective_us", 3e5),
         ("class.0.deadline_us", 1e6),
     ] {
         settings.set(name, Value::Number(value));
     }
-    settings.set("class.0.effect", Value::Text("safe".into()));
+    settings.set("class.0.idempotency", Value::Text("idempotent".into()));
     let (mut router, mut fleet) = (Balance::new(1, settings), Fleet::default());
     let start = 1_000_000_000;
     router.list_begins(start, Listing::Whole);
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -720,7 +720,7 @@
         // Departure: a client's last try lasts what is left of its deadline, so it shows how much time is gone.
         Class::know(&mut self.classes, class + 1, &self.settings);
         let (settings, tenants) = (&self.settings, self.tenants.len());
-        let quota = |t| settings.number(&format!("tenant.{t}.per_s")).unwrap_or(f64::INFINITY);
+        let quota = |t| settings.number(&format!("tenant.{t}.quota_per_s")).unwrap_or(f64::INFINITY);
         self.tenants.extend((tenants..=tenant).map(|t| (Samples::new(64), quota(t))));
         let (of, left) = (&mut self.classes[class], (until - now) as f64);
         let common = of.tries.quantile(0.5, now - RECENT).unwrap_or(left);
--- a/crates/balancer/src/balance/tests.rs
+++ b/crates/balancer/src/balance/tests.rs
@@ -29,11 +29,15 @@
 /// A router with one class, two cells and nodes 0 and 1 that each hold every shard.
 fn router(effect: &str, more: &[(&str, f64)]) -> Balance {
     let mut settings = Settings::default();
-    settings.set("class.0.effect", crate::Value::Text(effect.into()));
-    settings.set("limits.second_copies", crate::Value::Flag(true));
-    settings.set("limits.withdraw", crate::Value::Flag(true));
-    let base =
-        [("shards.cells", 2.0), ("shards.width", 2.0), ("class.0.agreed_us", 1e6), ("limits.shots", 3.0)];
+    settings.set("class.0.idempotency", crate::Value::Text(effect.into()));
+    settings.set("limits.hedging", crate::Value::Flag(true));
+    settings.set("limits.cancellation", crate::Value::Flag(true));
+    let base = [
+        ("shards.replica_sets", 2.0),
+        ("shards.replica_sets_per_shard", 2.0),
+        ("class.0.latency_objective_us", 1e6),
+        ("limits.max_attempts", 3.0),
+    ];
     for (name, value) in base.iter().chain(more) {
         settings.set(name, crate::Value::Number(*value));
     }
@@ -73,7 +77,7 @@
 
 #[test]
 fn a_retrieval_is_fanned_out_by_turns_and_whole_once_all_parts_are_in() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     ask(&mut router, 0, 2);
     assert_eq!(settle(&mut router, NOW), ["send 1 0", "send 2 1"]);
     router.outcome(NOW + 9, 1, 0, 0, Outcome::Ok, 9, &[]);
@@ -85,7 +89,7 @@
 #[test]
 fn routers_that_know_nothing_begin_their_turns_at_different_nodes() {
     let first = |seed| {
-        let mut router = router("safe", &[]);
+        let mut router = router("idempotent", &[]);
         router.rng = fastrand::Rng::with_seed(seed);
         router.nodes.clear();
         list(&mut router, Listing::Disk, &[(0, Phase::Ready, 0), (1, Phase::Ready, 0)]);
@@ -98,7 +102,7 @@
 
 #[test]
 fn parts_share_a_call_where_calls_carry_several() {
-    let mut router = router("safe", &[("calls.parts", 4.0)]);
+    let mut router = router("idempotent", &[("batch.max_shard_requests", 4.0)]);
     ask(&mut router, 0, 2);
     assert_eq!(settle(&mut router, NOW), ["send 1 0", "send 2 0"]);
 }
@@ -106,14 +110,14 @@
 #[test]
 fn proof_that_a_part_never_ran_earns_an_unsafe_part_another_shot() {
     for outcome in [Outcome::Full, Outcome::Unreachable] {
-        assert_eq!(after(&mut router("unsafe", &[]), outcome, NOW + 5), ["send 11 1"]);
+        assert_eq!(after(&mut router("non_idempotent", &[]), outcome, NOW + 5), ["send 11 1"]);
     }
 }
 
 #[test]
 fn a_connection_that_never_came_up_is_not_held_against_a_node_that_answered_meanwhile() {
     for (answered, barred) in [(NOW + 100_000, false), (NOW - 100_000, true)] {
-        let mut router = router("safe", &[]);
+        let mut router = router("idempotent", &[]);
         router.learn(answered, 0, 0, Outcome::Ok, 5);
         router.learn(NOW + 250_000, 0, 0, Outcome::Unreachable, 250_000);
         let node = &router.nodes[0];
@@ -124,33 +128,36 @@
 #[test]
 fn without_proof_an_unsafe_retrieval_is_given_up() {
     for outcome in [Outcome::Error, Outcome::Broken, Outcome::Overdue] {
-        assert_eq!(after(&mut router("unsafe", &[]), outcome, NOW + 5), ["10 GivenUp"]);
+        assert_eq!(after(&mut router("non_idempotent", &[]), outcome, NOW + 5), ["10 GivenUp"]);
     }
 }
 
 #[test]
 fn a_safe_part_is_tried_elsewhere_whatever_ended_its_shot() {
     for outcome in [Outcome::Error, Outcome::Broken, Outcome::Overdue] {
-        assert_eq!(after(&mut router("safe", &[]), outcome, NOW + 5), ["send 11 1"]);
+        assert_eq!(after(&mut router("idempotent", &[]), outcome, NOW + 5), ["send 11 1"]);
     }
 }
 
 #[test]
 fn a_keyed_part_is_sent_again_only_while_repeats_are_dropped() {
-    let repeat = [("class.0.repeat_us", 500_000.0)];
-    assert_eq!(after(&mut router("keyed", &repeat), Outcome::Broken, NOW + 400_000), ["send 11 1"]);
-    assert_eq!(after(&mut router("keyed", &repeat), Outcome::Broken, NOW + 499_000), ["10 GivenUp"]);
+    let repeat = [("class.0.idempotency_window_us", 500_000.0)];
+    assert_eq!(after(&mut router("idempotency_key", &repeat), Outcome::Broken, NOW + 400_000), ["send 11 1"]);
+    assert_eq!(
+        after(&mut router("idempotency_key", &repeat), Outcome::Broken, NOW + 499_000),
+        ["10 GivenUp"]
+    );
 }
 
 #[test]
 fn shots_end_at_the_limit_and_a_safe_retrieval_is_then_deferred() {
-    let mut router = router("safe", &[("limits.shots", 1.0)]);
+    let mut router = router("idempotent", &[("limits.max_attempts", 1.0)]);
     assert_eq!(after(&mut router, Outcome::Broken, NOW + 5), ["10 Deferred(0)"]);
 }
 
 #[test]
 fn further_shots_stay_within_the_budget_of_the_window() {
-    let mut router = router("safe", &[("rules.further_share", 0.5), ("rules.further_window_us", 1e6)]);
+    let mut router = router("idempotent", &[("rules.retry_share", 0.5), ("rules.retry_window_us", 1e6)]);
     router.taken.push(NOW, 2.0);
     assert!(router.spare(NOW + 999_999, false) >= 1.0);
     router.further.push(NOW, 1.0);
@@ -159,8 +166,8 @@
 
 #[test]
 fn a_floor_allows_an_answer_at_the_agreed_time_never_marked_whole() {
-    let floor = [("class.0.floor", 0.5), ("class.0.part_share", 0.8)];
-    let mut router = router("safe", &floor);
+    let floor = [("class.0.completeness_minimum", 0.5), ("class.0.partial_value", 0.8)];
+    let mut router = router("idempotent", &floor);
     ask(&mut router, 0, 2);
     settle(&mut router, NOW);
     router.outcome(NOW + 9, 1, 0, 0, Outcome::Ok, 9, &[]);
@@ -171,7 +178,7 @@
 
 #[test]
 fn weights_that_rounding_leaves_short_of_one_doom_nothing() {
-    let mut router = router("safe", &[("calls.parts", 4.0)]);
+    let mut router = router("idempotent", &[("batch.max_shard_requests", 4.0)]);
     for r in [0, 100] {
         router.retrieval(NOW, r, 0, 0, NOW + 3_000_000, 0, 8, false);
         (0..8).for_each(|i| router.part(NOW, r, r + 1 + i, 0, 0.1249, 0));
@@ -189,7 +196,8 @@
 
 #[test]
 fn under_the_floor_nothing_is_answered_and_the_end_comes_before_deadline() {
-    let mut router = router("unsafe", &[("class.0.floor", 0.6), ("class.0.late_share", 0.3)]);
+    let mut router =
+        router("non_idempotent", &[("class.0.completeness_minimum", 0.6), ("class.0.late_value", 0.3)]);
     ask(&mut router, 0, 2);
     settle(&mut router, NOW);
     router.outcome(NOW + 9, 1, 0, 0, Outcome::Ok, 9, &[]);
@@ -199,7 +207,7 @@
 
 #[test]
 fn a_second_step_needs_all_its_parts() {
-    let mut router = router("safe", &[("class.0.second_step", 1.0)]);
+    let mut router = router("idempotent", &[("class.0.second_step", 1.0)]);
     ask(&mut router, 0, 1);
     settle(&mut router, NOW);
     router.outcome(NOW + 5, 1, 0, 0, Outcome::Ok, 5, &[]);
@@ -212,7 +220,7 @@
 
 #[test]
 fn a_retrieval_waits_whole_at_the_bound_and_is_deferred_unsent_in_the_end() {
-    let mut router = router("unsafe", &[]);
+    let mut router = router("non_idempotent", &[]);
     ask(&mut router, 0, 12);
     assert_eq!(settle(&mut router, NOW).len(), 12);
     ask(&mut router, 20, 6);
@@ -222,7 +230,7 @@
 
 #[test]
 fn an_overdue_node_is_skipped_and_its_part_copied() {
-    let mut router = router("safe", &[("class.0.late_share", 0.3)]);
+    let mut router = router("idempotent", &[("class.0.late_value", 0.3)]);
     (0..16).for_each(|_| router.lags.push(NOW, 100_000.0));
     ask(&mut router, 0, 1);
     assert_eq!(settle(&mut router, NOW), ["send 1 0"]);
@@ -234,7 +242,7 @@
 
 #[test]
 fn an_unsafe_part_goes_to_no_node_that_failed_of_late() {
-    let mut router = router("unsafe", &[]);
+    let mut router = router("non_idempotent", &[]);
     router.nodes[0].record_mut(0).strikes = 1;
     ask(&mut router, 0, 1);
     assert_eq!(settle(&mut router, NOW), ["send 1 1"]);
@@ -242,7 +250,7 @@
 
 #[test]
 fn a_failing_node_is_barred_for_longer_each_time_and_free_once_it_restarts() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     router.learn(NOW, 0, 0, Outcome::Error, 5);
     router.learn(NOW, 0, 0, Outcome::Error, 5);
     assert_eq!(
@@ -257,7 +265,7 @@
 
 #[test]
 fn a_full_node_is_left_alone_until_it_answers() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     router.learn(NOW, 0, 0, Outcome::Full, 5);
     assert_eq!(router.state(NOW + 50_000, 0, 0), 0);
     router.learn(NOW + 60_000, 0, 0, Outcome::Ok, 5);
@@ -266,7 +274,7 @@
 
 #[test]
 fn lags_near_the_agreed_time_shrink_a_nodes_bound() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     router.free(NOW, 0, 0, Outcome::Ok, 600_000);
     assert!(router.nodes[0].bound < 3.0);
     router.free(NOW + 1, 0, 0, Outcome::Ok, 100_000);
@@ -275,7 +283,7 @@
 
 #[test]
 fn a_filled_node_opens_again_for_a_whole_call() {
-    let mut router = router("safe", &[("calls.parts", 4.0)]);
+    let mut router = router("idempotent", &[("batch.max_shard_requests", 4.0)]);
     ask(&mut router, 0, 8);
     settle(&mut router, NOW);
     ask(&mut router, 20, 8);
@@ -290,7 +298,7 @@
 #[test]
 fn while_shots_are_turned_away_retrievals_of_many_parts_follow_more_slowly() {
     let sends = |turned: &[f64], parts: usize| {
-        let mut router = router("safe", &[("calls.parts", 1.0)]);
+        let mut router = router("idempotent", &[("batch.max_shard_requests", 1.0)]);
         turned.iter().for_each(|&one| router.turned.push(NOW, one));
         ask(&mut router, 0, 2);
         ask(&mut router, 10, parts);
@@ -300,7 +308,7 @@
     let (few, many) = ([&[1.0][..], &[0.0; 99]].concat(), [[1.0; 25], [0.0; 25]].concat());
     assert_eq!(sends(&few, 2), (4, 4));
     assert_eq!(sends(&many, 2), (2, 2));
-    let mut router = router("safe", &[("calls.parts", 1.0)]);
+    let mut router = router("idempotent", &[("batch.max_shard_requests", 1.0)]);
     router.paced_until = NOW + 1;
     ask(&mut router, 0, 1);
     assert_eq!(settle(&mut router, NOW).len(), 1);
@@ -308,7 +316,7 @@
 
 #[test]
 fn a_draining_or_missing_node_gets_nothing_new() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     list(&mut router, Listing::Changes, &[(0, Phase::Draining, 0)]);
     assert_eq!(router.shards.holders(0), [1]);
     list(&mut router, Listing::Whole, &[(0, Phase::Ready, 0)]);
@@ -319,8 +327,12 @@
 
 #[test]
 fn a_cold_node_gets_no_more_than_this_routers_share() {
-    let cold = [("rules.warm_up_us", 1e7), ("rules.tip_after_us", 3e6), ("rules.cold_from", 0.2)];
-    let mut router = router("safe", &cold);
+    let cold = [
+        ("rules.warm_up_us", 1e7),
+        ("rules.cold_overload_window_us", 3e6),
+        ("rules.cold_capacity_share", 0.2),
+    ];
+    let mut router = router("idempotent", &cold);
     (router.site.tip.1, router.site.routers) = (2.0, 3.0);
     list(&mut router, Listing::Changes, &[(0, Phase::Ready, NOW)]);
     // 2 x 0.2 x 3 s / 3 is 400 ms of work; a part is taken for 100 ms until lags are known.
@@ -331,7 +343,7 @@
 
 #[test]
 fn a_list_that_must_be_asked_for_is_asked_again_later_after_a_failure() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     router.site.ask_within = Some(10_000_000);
     assert_eq!(settle(&mut router, NOW), ["subscribe true"]);
     list(&mut router, Listing::Failed, &[]);
@@ -343,7 +355,7 @@
 
 #[test]
 fn the_last_try_of_a_client_shows_how_much_of_the_agreed_time_is_gone() {
-    let mut router = router("safe", &[("class.0.deadline_us", 3e6)]);
+    let mut router = router("idempotent", &[("class.0.deadline_us", 3e6)]);
     router.retrieval(NOW, 0, 0, 0, NOW + 2_000_000, 0, 1, false);
     assert_eq!(router.book.held(0).agreed, NOW + 1_000_000);
     router.retrieval(NOW, 1, 0, 0, NOW + 2_500_000, 0, 1, false);
@@ -352,14 +364,14 @@
 
 #[test]
 fn what_a_tenant_asks_beyond_its_share_waits_behind() {
-    let mut router = router("safe", &[("tenant.0.per_s", 1.0)]);
+    let mut router = router("idempotent", &[("tenant.0.quota_per_s", 1.0)]);
     (0..4).for_each(|r| router.retrieval(NOW, r, 0, 0, NOW + 3_000_000, 0, 1, false));
     assert_eq!((router.book.held(2).rank, router.book.held(3).rank), (0, 1));
 }
 
 #[test]
 fn nothing_is_sent_for_a_client_that_left() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     ask(&mut router, 0, 1);
     router.client_left(NOW, 0);
     assert!(settle(&mut router, NOW).is_empty());
@@ -367,7 +379,7 @@
 
 #[test]
 fn what_brings_down_each_node_is_not_carried_on_and_known_again() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     ask(&mut router, 0, 2);
     assert_eq!(settle(&mut router, NOW).len(), 2);
     router.outcome(NOW + 5, 1, 0, 0, Outcome::Broken, 5, &[]);
@@ -381,7 +393,7 @@
 
 #[test]
 fn an_ordinary_part_under_which_a_node_fell_is_saved_once_another_is_answered() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     ask(&mut router, 0, 2);
     settle(&mut router, NOW);
     router.outcome(NOW + 5, 1, 0, 0, Outcome::Broken, 5, &[]);
@@ -391,7 +403,7 @@
 
 #[test]
 fn while_nodes_keep_falling_the_first_call_goes_ahead() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     (0..FALLEN).for_each(|_| router.falls.push(NOW, 1.0));
     ask(&mut router, 0, 2);
     assert_eq!(settle(&mut router, NOW), ["send 1 0"]);
@@ -401,8 +413,8 @@
 
 #[test]
 fn among_many_routers_a_cold_node_gets_a_call_once_its_allowance_is_saved_up() {
-    let cold = [("rules.warm_up_us", 1e7), ("rules.tip_after_us", 3e6), ("routers", 100.0)];
-    let mut router = router("safe", &cold);
+    let cold = [("rules.warm_up_us", 1e7), ("rules.cold_overload_window_us", 3e6), ("routers", 100.0)];
+    let mut router = router("idempotent", &cold);
     list(&mut router, Listing::Changes, &[(0, Phase::Ready, NOW)]);
     router.average = 0.1;
     assert!(!router.cold_room(NOW, 0, 1, 0) && router.cold_room(NOW + 1_000_000, 0, 1, 0));
@@ -414,7 +426,7 @@
 fn a_restarted_router_saves_up_by_what_it_sent_since_its_start() {
     // Half a second of work at two nodes within a second of its first decision, or of ten.
     let average = |up: Micros| {
-        let mut router = router("safe", &[]);
+        let mut router = router("idempotent", &[]);
         router.learn_usual(NOW - up);
         router.sent.push(NOW - 10, 500_000.0);
         router.learn_usual(NOW);
@@ -425,7 +437,8 @@
 
 /// A retrieval of four parts that may be answered from half of them; the nodes of `full` turned shots away of late.
 fn floored(floor: f64, full: &[Node]) -> Balance {
-    let mut router = router("safe", &[("class.0.floor", floor), ("class.0.part_share", 0.9)]);
+    let mut router =
+        router("idempotent", &[("class.0.completeness_minimum", floor), ("class.0.partial_value", 0.9)]);
     for &n in full {
         router.nodes[n].fulls = 1;
         router.nodes[n].full_until = NOW - 1;
@@ -471,7 +484,7 @@
 
 #[test]
 fn what_could_not_be_reached_counts_as_cold_before_the_list_says_so() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     router.site.tip = (3_000_000, 1.0, 0.1, 10_000_000);
     router.nodes[0].sent.push(NOW, 1e6);
     assert!(router.cold_room(NOW, 0, 1, 0));
@@ -490,7 +503,7 @@
 
 #[test]
 fn among_many_routers_a_small_bound_is_a_pause_and_a_struck_node_gets_a_part() {
-    let mut router = router("safe", &[("routers", 64.0), ("calls.parts", 4.0)]);
+    let mut router = router("idempotent", &[("routers", 64.0), ("batch.max_shard_requests", 4.0)]);
     router.nodes[0].bound = 1.0;
     router.free(NOW, 0, 0, Outcome::Ok, 500_000);
     assert!(router.nodes[0].open_at > NOW + 1_000_000);
@@ -504,7 +517,7 @@
 
 #[test]
 fn a_slow_way_is_held_against_no_node() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     router.ways = vec![0, 400_000];
     router.nodes[1].zone = 1;
     router.free(NOW, 1, 0, Outcome::Ok, 600_000);
@@ -513,7 +526,7 @@
 
 #[test]
 fn idle_connections_are_doubted_when_only_long_pauses_end_in_silence() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     (0..8).for_each(|_| router.rested(NOW, false, 500_000));
     (0..2).for_each(|_| router.rested(NOW, true, 3_000_000));
     assert_eq!(router.doubtful, 3_000_000);
@@ -523,7 +536,7 @@
 
 #[test]
 fn a_silence_for_one_class_is_not_held_against_one_that_was_answered() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     router.classes.push(router.classes[0].clone());
     router.nodes[0].record_mut(1).last_ok = NOW;
     router.learn(NOW + 5, 0, 0, Outcome::Overdue, 2_000_000);
@@ -532,7 +545,7 @@
 
 #[test]
 fn a_retrieval_with_more_lost_parts_than_the_budget_carries_ends_at_once() {
-    let mut router = router("safe", &[("rules.further_share", 0.0), ("rules.further_free", 1.0)]);
+    let mut router = router("idempotent", &[("rules.retry_share", 0.0), ("rules.free_retries", 1.0)]);
     ask(&mut router, 0, 4);
     settle(&mut router, NOW);
     for (part, node) in [(1, 0), (3, 0)] {
@@ -545,7 +558,7 @@
 #[test]
 fn a_node_that_spoils_or_breaks_off_gets_one_call_at_a_time_until_it_answers() {
     for outcome in [Outcome::Spoilt, Outcome::Broken] {
-        let mut router = router("safe", &[("calls.parts", 4.0)]);
+        let mut router = router("idempotent", &[("batch.max_shard_requests", 4.0)]);
         assert_eq!(after(&mut router, outcome, NOW + 9), ["send 11 1"]);
         router.learn(NOW + 10, 0, 0, outcome, 9);
         let node = &router.nodes[0];
@@ -560,7 +573,7 @@
 
 #[test]
 fn an_unsafe_part_keeps_off_a_node_that_breaks_off_a_tenth_of_its_shots() {
-    let mut router = router("unsafe", &[]);
+    let mut router = router("non_idempotent", &[]);
     for i in 0..10 {
         router.learn(NOW + i, 0, 0, Outcome::Ok, 9);
     }
@@ -576,7 +589,7 @@
 #[test]
 fn a_node_that_is_gone_is_forgotten_once_nothing_refers_to_it() {
     for listing in [Listing::Changes, Listing::Whole] {
-        let mut router = router("safe", &[]);
+        let mut router = router("idempotent", &[]);
         ask(&mut router, 10, 1);
         assert_eq!(settle(&mut router, NOW), ["send 11 0"]);
         router.nodes[0].record_mut(0).strikes = 3;
@@ -591,15 +604,20 @@
         assert!(settle(&mut router, NOW + 3).is_empty());
     }
     // One that drains is not gone: what it was told must still be obeyed.
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     list(&mut router, Listing::Changes, &[(0, Phase::Draining, 0)]);
     assert!(settle(&mut router, NOW).is_empty());
 }
 
 #[test]
 fn a_node_stands_as_the_module_would_use_it() {
-    let cold = [("rules.tip_after_us", 1e6), ("rules.tip_multiple", 2.0), ("rules.cold_from", 0.25)];
-    let mut router = router("safe", &[&cold[..], &[("rules.warm_up_us", 10e6), ("routers", 4.0)]].concat());
+    let cold = [
+        ("rules.cold_overload_window_us", 1e6),
+        ("rules.cold_overload_multiple", 2.0),
+        ("rules.cold_capacity_share", 0.25),
+    ];
+    let mut router =
+        router("idempotent", &[&cold[..], &[("rules.warm_up_us", 10e6), ("routers", 4.0)]].concat());
     let tape = [(0, Phase::Ready, NOW - 6_000_000), (1, Phase::Draining, 0)];
     assert!(list(&mut router, Listing::Changes, &tape).0.is_empty());
     // A quarter at first, half of the way after the window of a second: 0.25 + 0.75 / 2 of a core, twice that.
@@ -613,7 +631,7 @@
 
 #[test]
 fn sums_bar_a_node_only_when_most_shots_went_wrong_there() {
-    let mut router = router("safe", &[("routers", 2.0)]);
+    let mut router = router("idempotent", &[("routers", 2.0)]);
     let sums = |answered, failed| Sums { answered, failed, lag: 1000, ..Sums::default() };
     router.summed(NOW, 0, &sums(5.0, 5.0));
     assert_eq!(router.standing(NOW, 0), Standing::Open { parts: 16.0 });
@@ -632,7 +650,7 @@
 
 #[test]
 fn new_work_is_deferred_in_the_share_that_finds_no_room() {
-    let mut router = router("safe", &[]);
+    let mut router = router("idempotent", &[]);
     let held = |held| Sums { answered: 1.0, held, lag: 1000, ..Sums::default() };
     router.summed(NOW, 0, &held(8.0));
     assert_eq!(router.defers(NOW, &[0, 1]), 0.0);
@@ -673,23 +691,23 @@
     fn new(nodes: &[(usize, Micros)], full: &[Node]) -> Fleet {
         let mut settings = Settings::default();
         for (name, value) in [
-            ("shards.cells", 40.0),
-            ("shards.width", 1.0),
+            ("shards.replica_sets", 40.0),
+            ("shards.replica_sets_per_shard", 1.0),
             ("routers", 300.0),
-            ("calls.parts", 4.0),
-            ("calls.work_us", 7_000.0),
-            ("limits.shots", 3.0),
-            ("tick_us", 5_000.0),
-            ("rules.tip_after_us", 3e6),
-            ("rules.tip_multiple", 2.5),
-            ("rules.cold_from", 0.2),
+            ("batch.max_shard_requests", 4.0),
+            ("batch.work_us", 7_000.0),
+            ("limits.max_attempts", 3.0),
+            ("decision_interval_us", 5_000.0),
+            ("rules.cold_overload_window_us", 3e6),
+            ("rules.cold_overload_multiple", 2.5),
+            ("rules.cold_capacity_share", 0.2),
             ("rules.warm_up_us", 18e6),
         ] {
             settings.set(name, crate::Value::Number(value));
         }
         for g in 0..2 {
-            settings.set(&format!("class.{g}.effect"), crate::Value::Text("safe".into()));
-            settings.set(&format!("class.{g}.agreed_us"), crate::Value::Number(300_000.0));
+            settings.set(&format!("class.{g}.idempotency"), crate::Value::Text("idempotent".into()));
+            settings.set(&format!("class.{g}.latency_objective_us"), crate::Value::Number(300_000.0));
             settings.set(&format!("class.{g}.deadline_us"), crate::Value::Number(1e6));
         }
         let mut router = Balance::new(3, settings);
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -19,7 +19,7 @@
 //! }
 //!
 //! let mut settings = Settings::default();
-//! for (name, value) in [("shards.cells", 1.0), ("shards.width", 1.0), ("class.0.agreed_us", 1e6)] {
+//! for (name, value) in [("shards.replica_sets", 1.0), ("shards.replica_sets_per_shard", 1.0), ("class.0.latency_objective_us", 1e6)] {
 //!     settings.set(name, Value::Number(value));
 //! }
 //! let (mut router, mut tape) = (Balance::new(7, settings), Tape::default());
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -15,8 +15,8 @@
     /// The kind under its name; an unknown one is taken for the strictest.
     pub fn named(name: &str) -> Self {
         match name {
-            "safe" => Effect::Safe,
-            "keyed" => Effect::Keyed,
+            "idempotent" => Effect::Safe,
+            "idempotency_key" => Effect::Keyed,
             _ => Effect::Unsafe,
         }
     }
@@ -48,23 +48,24 @@
     pub fn new(settings: &Settings) -> Self {
         let number = |name, absent| settings.number(name).unwrap_or(absent);
         let micros = |name| number(name, 0.0) as Micros;
-        let asked = settings.text("list.mode") == "asked";
-        let (window, free) = (micros("rules.further_window_us"), number("rules.further_free", 0.0));
-        let (multiple, cold) = (number("rules.tip_multiple", 1.0), number("rules.cold_from", 1.0));
+        let asked = settings.text("discovery.mode") == "polled";
+        let (window, free) = (micros("rules.retry_window_us"), number("rules.free_retries", 0.0));
+        let (multiple, cold) =
+            (number("rules.cold_overload_multiple", 1.0), number("rules.cold_capacity_share", 1.0));
         Site {
             zone: number("zone", 0.0) as usize,
             routers: number("routers", 1.0).max(1.0),
-            tick: micros("tick_us"),
-            call_parts: number("calls.parts", 1.0).max(1.0) as usize,
-            call_work: number("calls.work_us", 0.0),
-            most_shots: number("limits.shots", 1.0) as usize,
-            copies: settings.flag("limits.second_copies"),
-            withdraw: settings.flag("limits.withdraw"),
-            by_work: settings.text("importance_by") == "work",
-            stay_away: settings.flag("limits.stay_away") as Micros * micros("limits.stay_away_us"),
-            ask_within: asked.then_some(micros("rules.ask_within_us")),
-            tip: (micros("rules.tip_after_us"), multiple, cold, micros("rules.warm_up_us")),
-            budget: settings.number("rules.further_share").map(|share| (window, free, share)),
+            tick: micros("decision_interval_us"),
+            call_parts: number("batch.max_shard_requests", 1.0).max(1.0) as usize,
+            call_work: number("batch.work_us", 0.0),
+            most_shots: number("limits.max_attempts", 1.0) as usize,
+            copies: settings.flag("limits.hedging"),
+            withdraw: settings.flag("limits.cancellation"),
+            by_work: settings.text("priority_by") == "work",
+            stay_away: settings.flag("limits.retry_after") as Micros * micros("limits.max_retry_after_us"),
+            ask_within: asked.then_some(micros("rules.poll_within_us")),
+            tip: (micros("rules.cold_overload_window_us"), multiple, cold, micros("rules.warm_up_us")),
+            budget: settings.number("rules.retry_share").map(|share| (window, free, share)),
         }
     }
 }
@@ -98,16 +99,16 @@
         let number = |n, absent| settings.number(&name(n)).unwrap_or(absent);
         let deadline = number("deadline_us", 0.0);
         Class {
-            effect: Effect::named(settings.text(&name("effect"))),
-            agreed: number("agreed_us", deadline) as Micros,
+            effect: Effect::named(settings.text(&name("idempotency"))),
+            agreed: number("latency_objective_us", deadline) as Micros,
             deadline: deadline as Micros,
-            late_share: number("late_share", 0.0),
-            part_share: number("part_share", 0.0),
-            need: number("need", 1.0),
-            floor: number("floor", 1.0),
-            importance: number("importance", 1.0),
-            repeat: number("repeat_us", 0.0) as Micros,
-            stretch: number("agreed_stretch", 0.0),
+            late_share: number("late_value", 0.0),
+            part_share: number("partial_value", 0.0),
+            need: number("completeness_required", 1.0),
+            floor: number("completeness_minimum", 1.0),
+            importance: number("priority_weight", 1.0),
+            repeat: number("idempotency_window_us", 0.0) as Micros,
+            stretch: number("latency_objective_stretch", 0.0),
             second_step: number("second_step", 0.0) >= 1.0,
             spans: Samples::new(spans),
             tries: Samples::new(tries),
@@ -490,7 +491,7 @@
 impl Shards {
     pub fn new(settings: &Settings) -> Self {
         let whole = |name| settings.number(name).unwrap_or(1.0).max(1.0) as usize;
-        let (width, count) = (whole("shards.width"), whole("shards.cells"));
+        let (width, count) = (whole("shards.replica_sets_per_shard"), whole("shards.replica_sets"));
         Shards { width: width.min(count), count, cells: BTreeMap::new(), ready: 0 }
     }
 
--- a/crates/control-plane/src/catalog.rs
+++ b/crates/control-plane/src/catalog.rs
@@ -333,12 +333,12 @@
                     rds::route_action::ClusterSpecifier::WeightedClusters(weighted)
                 };
                 let action = match class.effect.as_str() {
-                    "keyed" => refusal(501, "a keyed class: its keys can't be kept by a proxy\n"),
+                    "idempotency_key" => refusal(501, "a keyed class: its keys can't be kept by a proxy\n"),
                     effect => rds::route::Action::Route(rds::RouteAction {
                         cluster_specifier: Some(specifier),
                         // What comes after the agreed time and pays nothing is given up there, as in a router.
                         timeout: duration(if class.pays_late { class.deadline } else { class.agreed }),
-                        retry_policy: Some(retries(site, class.agreed, effect == "safe")),
+                        retry_policy: Some(retries(site, class.agreed, effect == "idempotent")),
                         cluster_not_found_response_code:
                             rds::route_action::ClusterNotFoundResponseCode::ServiceUnavailable as i32,
                         ..Default::default()
--- a/crates/control-plane/src/control.rs
+++ b/crates/control-plane/src/control.rs
@@ -121,7 +121,7 @@
             grace: config.micros("rules.drain_grace_us").max(1),
             catalog: Catalog::new(&options, &fleet.zones),
             outlines: HashMap::new(),
-            asked: config.settings.text("list.mode") == "asked",
+            asked: config.settings.text("discovery.mode") == "polled",
             options,
             fleet,
             plan: Plan::default(),
@@ -141,7 +141,7 @@
             effects: Vec::new(),
         };
         control.list(now, &config.known, Listing::Disk);
-        for class in control.site.classes.iter().filter(|class| class.effect == "keyed") {
+        for class in control.site.classes.iter().filter(|class| class.effect == "idempotency_key") {
             tracing::warn!(class = class.name, "keyed: proxies refuse it, its keys can't be kept by them");
         }
         control
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -172,22 +172,22 @@
             let deadline = number(&of("deadline_us"), 0.0) as Micros;
             Class {
                 name,
-                effect: settings.text(&of("effect")).to_string(),
-                agreed: settings.number(&of("agreed_us")).map_or(deadline, |t| t as Micros),
+                effect: settings.text(&of("idempotency")).to_string(),
+                agreed: settings.number(&of("latency_objective_us")).map_or(deadline, |t| t as Micros),
                 deadline,
-                pays_late: number(&of("late_share"), 0.0) > 0.0,
+                pays_late: number(&of("late_value"), 0.0) > 0.0,
             }
         });
-        let cells = whole("shards.cells");
+        let cells = whole("shards.replica_sets");
         Site {
             classes: classes.collect(),
             cells,
             shards: whole("shards.count"),
-            width: whole("shards.width").min(cells),
-            shots: whole("limits.shots") as u32,
-            connect: number("limits.connect_us", 250_000.0) as Micros,
-            further_share: settings.number("rules.further_share"),
-            further_free: number("rules.further_free", 0.0),
+            width: whole("shards.replica_sets_per_shard").min(cells),
+            shots: whole("limits.max_attempts") as u32,
+            connect: number("limits.connect_timeout_us", 250_000.0) as Micros,
+            further_share: settings.number("rules.retry_share"),
+            further_free: number("rules.free_retries", 0.0),
         }
     }
 }
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -419,7 +419,7 @@
         watch: Arc::default(),
         to: to.clone(),
         tries: Arc::new(tokio::sync::Semaphore::new(MOST_TRIES)),
-        try_for: Duration::from_micros(config.micros("limits.connect_us").max(1000) as u64),
+        try_for: Duration::from_micros(config.micros("limits.connect_timeout_us").max(1000) as u64),
     };
     let (discovery, at_discovery) = tokio::sync::watch::channel(config.discovery);
     let (lists, mut listed) = mpsc::channel(16);
--- a/crates/query-router/src/clients.rs
+++ b/crates/query-router/src/clients.rs
@@ -69,7 +69,10 @@
             longest: deadline.max().unwrap_or(0),
             untaken: 0,
             most_untaken: config.memory.map_or(usize::MAX, |most| most / UNTAKEN),
-            most_held: settings.number("limits.held").map(|most| most as usize).filter(|&most| most > 0),
+            most_held: settings
+                .number("limits.max_in_flight")
+                .map(|most| most as usize)
+                .filter(|&most| most > 0),
             terms: Terms {
                 classes,
                 tenants: numbered(settings, "tenant"),
--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -99,7 +99,7 @@
                 return Err(format!("settings.services: {name}: deadlineNs is missing or not positive"));
             }
             // Without the client's mark a node can't tell a repeat, and the protocol names no way to send it.
-            if settings.text(&format!("class.{i}.effect")) == "keyed" {
+            if settings.text(&format!("class.{i}.idempotency")) == "idempotency_key" {
                 return Err(format!("settings.services: {name}: idempotency_key is not served"));
             }
             if settings.number(&format!("class.{i}.second_step")).is_some_and(|n| n >= 1.0) {
@@ -107,13 +107,13 @@
             }
         }
         for (name, theirs) in [
-            ("shards.cells", "familyInfo.sets"),
+            ("shards.replica_sets", "familyInfo.sets"),
             ("shards.count", "familyInfo.shards"),
-            ("shards.width", "familyInfo.width"),
-            ("calls.parts", "familyInfo.bundleMax"),
-            ("limits.calls_per_connection", "ceilings.maxStreams"),
-            ("limits.connect_us", "ceilings.connectTimeoutNs"),
-            ("limits.idle_us", "ceilings.idleCloseNs"),
+            ("shards.replica_sets_per_shard", "familyInfo.width"),
+            ("batch.max_shard_requests", "familyInfo.bundleMax"),
+            ("limits.max_requests_per_connection", "ceilings.maxStreams"),
+            ("limits.connect_timeout_us", "ceilings.connectTimeoutNs"),
+            ("limits.idle_timeout_us", "ceilings.idleCloseNs"),
         ] {
             if settings.number(name).is_none_or(|n| n < 1.0) {
                 return Err(format!("settings.{theirs}: it is missing or under 1"));
--- a/crates/query-router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -70,7 +70,7 @@
             pause: least,
             least,
             rng: fastrand::Rng::with_seed(!config.seed),
-            asked: config.settings.text("list.mode") == "asked",
+            asked: config.settings.text("discovery.mode") == "polled",
             nodes: Ids::default(),
             zones: numbered(&config.settings, "zone"),
             lists: 0,
--- a/crates/query-router/src/reducer.rs
+++ b/crates/query-router/src/reducer.rs
@@ -101,7 +101,7 @@
             news: Vec::new(),
             unsettled: true,
             settled: 0,
-            tick: config.micros("tick_us"),
+            tick: config.micros("decision_interval_us"),
             stopping: false,
             closing: false,
             ends_at: None,
--- a/crates/query-router/src/scatter.rs
+++ b/crates/query-router/src/scatter.rs
@@ -40,17 +40,17 @@
 
 impl Scatter {
     pub fn new(config: &Config) -> Scatter {
-        let connect = config.micros("limits.connect_us");
-        let idle = config.micros("limits.idle_us");
+        let connect = config.micros("limits.connect_timeout_us");
+        let idle = config.micros("limits.idle_timeout_us");
         Scatter {
             nodes: Vec::new(),
             calls: Vec::new(),
-            call_parts: config.whole("calls.parts"),
-            most_parts: config.whole("limits.calls_per_connection"),
+            call_parts: config.whole("batch.max_shard_requests"),
+            most_parts: config.whole("limits.max_requests_per_connection"),
             connect,
             // Closed here before the data node may: a request that crosses its close would be a reset.
             idle: (idle - connect).max(idle / 2),
-            probe: if config.settings.text("report.how") == "probes" { b'T' } else { b'G' },
+            probe: if config.settings.text("load_report.transport") == "health_checks" { b'T' } else { b'G' },
         }
     }
 
