--- a/crates/balancer/examples/settle.rs
+++ b/crates/balancer/examples/settle.rs
@@ -1,7 +1,11 @@
 //! What a settle costs and holds as the fleet grows: `cargo run --release --example settle -- NODES ROUTERS`.
 //! A router is asked five retrievals of 53 parts a second for 20 s of its own clock; each shot is answered in 20 ms.
 
-use balancer::{Actions, Balance, End, Events, Listing, Micros, Node, Outcome, Phase, Settings, Value};
+use balancer::{
+    Actions, AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Balancer, Completion, Endpoint,
+    EndpointState, EndpointUpdate, Events, Micros, NodeId, QueryArrival, QueryId, Settings,
+    ShardRequestArrival, ShardRequestId, Value,
+};
 use std::time::Instant;
 
 const TICK: Micros = 5_000;
@@ -10,16 +14,16 @@
 #[derive(Default)]
 struct Fleet {
     now: Micros,
-    back: Vec<(Micros, usize, Node)>,
+    back: Vec<(Micros, ShardRequestId, NodeId)>,
     whole: usize,
 }
 
 impl Actions for Fleet {
-    fn send(&mut self, part: usize, node: Node, _allow: Micros) {
-        self.back.push((self.now + 20_000, part, node));
+    fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, _timeout: Option<Micros>) {
+        self.back.push((self.now + 20_000, shard_request, node));
     }
-    fn finish(&mut self, _retrieval: usize, end: End) {
-        self.whole += (end == End::Whole) as usize;
+    fn complete_query(&mut self, _query: QueryId, end: Completion) {
+        self.whole += (end == Completion::Complete) as usize;
     }
 }
 
@@ -43,29 +47,72 @@
         settings.set(name, Value::Number(value));
     }
     settings.set("class.0.idempotency", Value::Text("idempotent".into()));
-    let (mut router, mut fleet) = (Balance::new(1, settings), Fleet::default());
+    let (mut router, mut fleet) = (Balancer::new(1, settings), Fleet::default());
     let start = 1_000_000_000;
-    router.list_begins(start, Listing::Whole);
-    (0..nodes).for_each(|n| router.listed(start, n, 0, n % cells, Phase::Ready, 1.0, 0));
-    router.list_ends(start, &mut fleet);
+    router.endpoint_update_started(start, EndpointUpdate::Full);
+    (0..nodes).for_each(|n| {
+        router.endpoint_listed(
+            start,
+            &Endpoint {
+                node: NodeId(n),
+                zone: 0,
+                replica_set: n % cells,
+                state: EndpointState::Ready,
+                scale: 1.0,
+                started_at: 0,
+            },
+        )
+    });
+    router.endpoint_update_finished(start, &mut fleet);
     let (mut spent, mut settles, mut asked) = (0.0, 0, 0);
     for tick in 0..20_000_000 / TICK {
         fleet.now = start + tick * TICK;
         if tick % 40 == 0 {
             // Indices are used again, as a front does once they are forgotten.
             let r = asked % 100 * (PARTS + 1);
-            router.retrieval(fleet.now, r, 0, 0, fleet.now + 1_000_000, 0, PARTS, false);
+            router.query_arrived(
+                fleet.now,
+                &QueryArrival {
+                    query: QueryId(r),
+                    class: 0,
+                    tenant: 0,
+                    deadline: fleet.now + 1_000_000,
+                    work: 0,
+                    shard_requests: PARTS,
+                    is_retry: false,
+                },
+            );
             for i in 0..PARTS {
-                router.part(fleet.now, r, r + 1 + i, (asked * 7 + i * 5) % cells, 1.0 / PARTS as f64, 0);
+                router.shard_request_arrived(
+                    fleet.now,
+                    &ShardRequestArrival {
+                        shard_request: ShardRequestId(r + 1 + i),
+                        query: QueryId(r),
+                        shard: (asked * 7 + i * 5) % cells,
+                        weight: 1.0 / PARTS as f64,
+                        work: 0,
+                    },
+                );
             }
             asked += 1;
         }
         let (due, later) = std::mem::take(&mut fleet.back).into_iter().partition(|b| b.0 <= fleet.now);
         fleet.back = later;
-        let due: Vec<(Micros, usize, Node)> = due;
-        due.into_iter().for_each(|(_, p, n)| router.outcome(fleet.now, p, 0, n, Outcome::Ok, 20_000, &[]));
+        let due: Vec<(Micros, ShardRequestId, NodeId)> = due;
+        due.into_iter().for_each(|(_, p, n)| {
+            router.attempt_ended(
+                fleet.now,
+                &AttemptEnd {
+                    attempt: AttemptId::new(p, AttemptNumber(0)),
+                    node: n,
+                    outcome: AttemptOutcome::Succeeded,
+                    latency: 20_000,
+                    load: &[],
+                },
+            )
+        });
         let began = Instant::now();
-        router.settle(fleet.now, &mut fleet);
+        router.decide(fleet.now, &mut fleet);
         spent += began.elapsed().as_secs_f64();
         settles += 1;
     }
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/balance.rs
@@ -1,4 +1,4 @@
-//! The decisions of yewpier: one `Balance` decides for one router, from its settings and its own events.
+//! The decisions of yewpier: one `Balancer` decides for one router, from its settings and its own events.
 //!
 //! A front calls the methods of `Events`, then `settle`, and carries out the `Actions` (`lib.rs`). In `settle`
 //! each retrieval runs down `CHAIN`, whose stages pass it on, keep it or end it; a shot's outcome runs it the
@@ -8,8 +8,13 @@
 mod tests;
 
 use crate::samples::Samples;
+use crate::state::Node;
 use crate::state::{Book, Class, Effect, NodeState, Part, Retrieval, Shards, Shot, Site};
-use crate::{Actions, End, Events, Listing, Micros, Node, Outcome, Phase, Settings, Standing, Sums};
+use crate::{
+    Actions, AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Completion, Endpoint, EndpointHealth,
+    EndpointUpdate, Events, LoadReport, Micros, NodeId, QueryArrival, QueryId, Settings, ShardRequestArrival,
+    ShardRequestId,
+};
 use std::cmp::Reverse;
 
 /// How long a sample speaks for the present.
@@ -32,15 +37,15 @@
 enum Step {
     Pass,
     Keep,
-    End(End),
+    Finish(Completion),
 }
 
-type Stage = fn(&mut Balance, Micros, usize, &mut dyn Actions) -> Step;
+type Stage = fn(&mut Balancer, Micros, usize, &mut dyn Actions) -> Step;
 const CHAIN: [Stage; 5] =
-    [Balance::reduce, Balance::time_left, Balance::scout, Balance::admit, Balance::further];
+    [Balancer::reduce, Balancer::time_left, Balancer::scout, Balancer::admit, Balancer::further];
 
 #[derive(Default)]
-pub struct Balance {
+pub struct Balancer {
     settings: Settings,
     site: Site,
     classes: Vec<Class>,
@@ -71,7 +76,7 @@
     taken: Samples,
     further: Samples,
     turns: u64,
-    listing: Option<Listing>,
+    listing: Option<EndpointUpdate>,
     lists: u64,
     subscribed: bool,
     ask_at: Micros,
@@ -86,9 +91,9 @@
     fatal: Vec<(Micros, [usize; 4])>,
 }
 
-impl Balance {
+impl Balancer {
     pub fn new(seed: u64, settings: Settings) -> Self {
-        Balance {
+        Balancer {
             shards: Shards::new(&settings),
             site: Site::new(&settings),
             settings,
@@ -127,20 +132,20 @@
         let pays = class.part_share * inside / need > class.late_share;
         let ends = if pays { held.agreed.min(held.until) } else { held.until } - self.margin();
         let end = if whole && (step == 0 || held.first_whole) {
-            End::Whole
+            Completion::Complete
         } else if inside >= floor && (whole || !waiting || now >= ends) {
-            End::Part
+            Completion::Partial
         } else if possible + 1e-5 < floor && parts.iter().any(|&p| self.book.part(p).lost) {
             return self.doom(r);
         } else {
             return Step::Pass;
         };
         if step > 0 || !class.second_step {
-            return Step::End(end);
+            return Step::Finish(end);
         }
         let held = self.book.held_mut(r);
-        (held.step, held.first_whole) = (held.parts.len(), end == End::Whole);
-        acts.finish(r, end);
+        (held.step, held.first_whole) = (held.parts.len(), end == Completion::Complete);
+        acts.complete_query(QueryId(r), end);
         Step::Keep
     }
 
@@ -150,7 +155,11 @@
         let ran = held.parts.iter().any(|&p| self.book.part(p).may_have_run.is_some());
         let harmless = !ran || self.classes[held.class].effect == Effect::Safe;
         let wait = held.admitted.is_none() as Micros * self.site.stay_away;
-        Step::End(if harmless { End::Deferred(wait) } else { End::GivenUp })
+        Step::Finish(if harmless {
+            Completion::Rejected { retry_after: Some(wait).filter(|&wait| wait > 0) }
+        } else {
+            Completion::Failed
+        })
     }
 
     /// Ends what ran out of time: unsent work that can no longer be in time, sent work that pays no more.
@@ -266,8 +275,8 @@
         let spare = if over.is_empty() { 0.0 } else { self.spare(now, false).max(0.0) };
         over.iter().skip(spare as usize).for_each(|&p| self.book.part_mut(p).lost = true);
         let mut lost = over.len() as f64 > spare;
-        if lost && let Step::End(end) = self.reduce(now, r, acts) {
-            return Step::End(end);
+        if lost && let Step::Finish(end) = self.reduce(now, r, acts) {
+            return Step::Finish(end);
         }
         for p in parts {
             let part = self.book.part(p);
@@ -445,29 +454,33 @@
     }
 
     /// What a node is good for now; a front that hands decisions on asks, and acts on nothing else.
-    pub fn standing(&self, now: Micros, n: Node) -> Standing {
+    pub fn endpoint_health(&self, now: Micros, node: NodeId) -> EndpointHealth {
+        let n = node.0;
         let Some(node) = self.nodes.get(n).filter(|node| node.list > 0 && !node.gone) else {
-            return Standing::Gone;
+            return EndpointHealth::Removed;
         };
         let barred = node.records.iter().map(|record| record.barred_until).max().unwrap_or(0);
         let parts = node.bound * self.site.routers;
         match self.bears(now, n) {
-            _ if !node.ready => Standing::Draining,
-            _ if barred > now => Standing::BarredUntil(barred),
+            _ if !node.ready => EndpointHealth::Draining,
+            _ if barred > now => EndpointHealth::EjectedUntil(barred),
             _ if (0..self.classes.len()).any(|g| node.in_doubt(g)) => {
-                Standing::Doubtful { parts: self.least() }
+                EndpointHealth::Suspect { capacity: self.least() }
             }
-            Some((_, share)) if share < 1.0 => Standing::Cold { parts: parts * share, share },
-            _ => Standing::Open { parts },
+            Some((_, share)) if share < 1.0 => EndpointHealth::WarmingUp { capacity: parts * share, share },
+            _ => EndpointHealth::Healthy { capacity: parts },
         }
     }
 
     /// What share of new work for `nodes` would be deferred for want of room, going by what others hold there.
-    pub fn defers(&self, now: Micros, nodes: &[Node]) -> f64 {
+    pub fn shed_fraction(&self, now: Micros, nodes: &[NodeId]) -> f64 {
         let (mut room, mut held) = (0.0, 0.0);
-        for &n in nodes {
-            match self.standing(now, n) {
-                Standing::Open { parts } | Standing::Doubtful { parts } | Standing::Cold { parts, .. } => {
+        for &node in nodes {
+            let n = node.0;
+            match self.endpoint_health(now, node) {
+                EndpointHealth::Healthy { capacity: parts }
+                | EndpointHealth::Suspect { capacity: parts }
+                | EndpointHealth::WarmingUp { capacity: parts, .. } => {
                     room += parts;
                     held +=
                         self.nodes[n].told.filter(|told| told.0 > now - RECENT).map_or(0.0, |told| told.1);
@@ -512,19 +525,21 @@
         self.sent.push(now, work);
         // Guards against connections that were dropped unseen while idle: a new one costs little.
         if now - to.heard > self.doubtful && to.out.is_empty() {
-            acts.let_go(node);
+            acts.close_idle_connections(NodeId(node));
             to.heard = now;
         }
         let rest = now - to.heard.min(now);
         let trial = self.book.part_mut(part).sent(now, node, rest);
         to.out.push(Shot { part, trial, at: now, rest });
         to.filled = to.out.len() >= to.bound as usize;
-        acts.send(part, node, 0);
+        acts.send_attempt(ShardRequestId(part), NodeId(node), None);
     }
 
     fn withdraw(&self, part: usize, acts: &mut dyn Actions) {
         if self.site.withdraw {
-            self.book.trials_out(part, &self.nodes).for_each(|trial| acts.withdraw(part, trial));
+            self.book.trials_out(part, &self.nodes).for_each(|trial| {
+                acts.cancel_attempt(AttemptId::new(ShardRequestId(part), AttemptNumber(trial)))
+            });
         }
     }
 
@@ -549,11 +564,11 @@
         if copy { stated.min(own) } else { stated }
     }
 
-    fn finish(&mut self, now: Micros, r: usize, end: End, acts: &mut dyn Actions) {
+    fn finish(&mut self, now: Micros, r: usize, end: Completion, acts: &mut dyn Actions) {
         let held = self.book.held(r);
         held.parts.iter().filter(|&&p| !self.book.part(p).done).for_each(|&p| self.withdraw(p, acts));
-        acts.finish(r, end);
-        if let (End::Whole, Some(at)) = (end, held.admitted) {
+        acts.complete_query(QueryId(r), end);
+        if let (Completion::Complete, Some(at)) = (end, held.admitted) {
             self.classes[held.class].spans.push(now, (now - at) as f64);
         }
         self.close(r);
@@ -567,21 +582,22 @@
     }
 
     /// Choice of node: what the end of a shot says of its node.
-    fn learn(&mut self, now: Micros, n: Node, class: usize, outcome: Outcome, lag: Micros) {
+    fn learn(&mut self, now: Micros, n: Node, class: usize, outcome: AttemptOutcome, lag: Micros) {
         let limit = self.limit(class, n);
         let usual = self.usual.map_or(limit / 8, |u| u[1]);
         let slow_way = self.way(n) > usual;
         let node = &mut self.nodes[n];
-        let (silent, late) = (matches!(outcome, Outcome::Withdrawn | Outcome::Overdue), lag > limit);
+        let (silent, late) =
+            (matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut), lag > limit);
         // Guards against connections that come up late: a node that answered while one was awaited is no fallen one.
-        let alive = outcome == Outcome::Unreachable && (now - lag + 1..=now).contains(&node.heard);
-        if !outcome.never_ran() && (!silent || late) {
-            node.fates.push(now, (outcome != Outcome::Ok) as u8 as f64);
+        let alive = outcome == AttemptOutcome::ConnectFailed && (now - lag + 1..=now).contains(&node.heard);
+        if !outcome.proves_not_executed() && (!silent || late) {
+            node.fates.push(now, (outcome != AttemptOutcome::Succeeded) as u8 as f64);
         }
         // Guards against a late list: what is out of reach comes back cold, until it answers as warm ones do.
-        node.missed = if outcome == Outcome::Unreachable && !alive { now } else { node.missed };
+        node.missed = if outcome == AttemptOutcome::ConnectFailed && !alive { now } else { node.missed };
         match outcome {
-            Outcome::Ok => {
+            AttemptOutcome::Succeeded => {
                 let record = node.record_mut(class);
                 (record.strikes, record.last_ok) = (record.strikes / 2, now);
                 (node.fulls, node.full_until, node.heard, node.struck) = (0, now, now, 0);
@@ -592,20 +608,20 @@
                 return;
             }
             // Guards against a storm of shots that a full node turns away, each at the cost of work.
-            Outcome::Full if now < node.full_until => return,
-            Outcome::Full => {
+            AttemptOutcome::Rejected if now < node.full_until => return,
+            AttemptOutcome::Rejected => {
                 node.fulls = (node.fulls + 1).min(5);
                 return node.full_until = now + ((usual / 2) << node.fulls).min(RECENT / 10);
             }
             // Guards against answers spoilt and connections broken on the way: one call at a time until it answers.
-            Outcome::Spoilt | Outcome::Broken => return node.struck = now,
-            _ if outcome == Outcome::Unsent || alive || silent && !late => return,
+            AttemptOutcome::MalformedResponse | AttemptOutcome::ConnectionLost => return node.struck = now,
+            _ if outcome == AttemptOutcome::NotSent || alive || silent && !late => return,
             _ => {}
         }
-        if outcome == Outcome::Unreachable && node.record(class).barred_until < node.struck {
+        if outcome == AttemptOutcome::ConnectFailed && node.record(class).barred_until < node.struck {
             self.falls.push(now, 1.0);
         }
-        if outcome != Outcome::Error {
+        if outcome != AttemptOutcome::ServerError {
             node.lags.push(now, lag.max(limit) as f64);
         }
         // One strike an episode; a silence does not count for a class that was answered meanwhile.
@@ -632,18 +648,19 @@
     }
 
     /// Admission: a node's bound follows what its lags leave of the agreed time.
-    fn free(&mut self, now: Micros, n: Node, class: usize, outcome: Outcome, lag: Micros) {
+    fn free(&mut self, now: Micros, n: Node, class: usize, outcome: AttemptOutcome, lag: Micros) {
         let (few, least) = (self.site.call_parts.max(2) as f64, self.least());
         let target = 0.25 * self.classes[class].agreed as f64;
-        let slow = (lag - self.way(n)) as f64 > target && matches!(outcome, Outcome::Ok | Outcome::Withdrawn);
+        let slow = (lag - self.way(n)) as f64 > target
+            && matches!(outcome, AttemptOutcome::Succeeded | AttemptOutcome::Cancelled);
         let node = &mut self.nodes[n];
-        if slow || outcome == Outcome::Full {
+        if slow || outcome == AttemptOutcome::Rejected {
             if now - node.bound_moved > lag {
                 let cut = if node.bound > few { 0.8 } else { (target / lag as f64).clamp(0.5, 0.8) };
                 node.bound = (node.bound.min(node.out.len() as f64 + 1.0) * cut).max(least);
                 node.bound_moved = now;
             }
-        } else if outcome == Outcome::Ok {
+        } else if outcome == AttemptOutcome::Succeeded {
             node.bound = (node.bound + (1.0 / node.bound).min(node.bound / 4.0)).min(BOUND);
         }
         if node.bound < few {
@@ -657,7 +674,7 @@
     fn wake(&mut self, now: Micros, acts: &mut dyn Actions) {
         let asks = self.site.ask_within.filter(|_| !self.subscribed);
         if let Some(within) = asks.filter(|_| now >= self.ask_at) {
-            acts.subscribe(true);
+            acts.watch_endpoints(true);
             self.ask_at = now + within.max(1_000_000);
         }
         let next = now + self.site.tick.max(1_000);
@@ -669,15 +686,15 @@
     }
 }
 
-impl Events for Balance {
-    fn list_begins(&mut self, _now: Micros, listing: Listing) {
+impl Events for Balancer {
+    fn endpoint_update_started(&mut self, _now: Micros, listing: EndpointUpdate) {
         (self.listing, self.lists) = (Some(listing), self.lists + 1);
     }
 
-    fn listed(
-        &mut self, now: Micros, n: Node, zone: usize, cell: usize, phase: Phase, _scale: f64,
-        up_since: Micros,
-    ) {
+    fn endpoint_listed(&mut self, now: Micros, endpoint: &Endpoint) {
+        let &Endpoint {
+            node: NodeId(n), zone, replica_set: cell, state: phase, started_at: up_since, ..
+        } = endpoint;
         if self.nodes.len() <= n {
             self.claims.resize(n + 1, 0);
             let rng = &mut self.rng;
@@ -694,29 +711,29 @@
         }
     }
 
-    fn list_ends(&mut self, now: Micros, acts: &mut dyn Actions) {
+    fn endpoint_update_finished(&mut self, now: Micros, acts: &mut dyn Actions) {
         let Some(listing) = self.listing.take() else { return };
-        if listing == Listing::Failed {
+        if listing == EndpointUpdate::Failed {
             self.subscribed = false;
             self.ask_failures = (self.ask_failures + 1).min(3);
             let wait = 500_000 << self.ask_failures;
             self.ask_at = now + wait / 2 + self.rng.i64(0..wait);
             acts.log(&format!("registry out of reach, asked again in {} ms", (self.ask_at - now) / 1000));
-        } else if listing != Listing::Disk {
+        } else if listing != EndpointUpdate::Cached {
             if !std::mem::replace(&mut self.subscribed, true) && self.ask_failures > 0 {
                 acts.log("registry back");
             }
             self.ask_failures = 0;
         }
-        let whole = matches!(listing, Listing::Whole | Listing::Disk);
+        let whole = matches!(listing, EndpointUpdate::Full | EndpointUpdate::Cached);
         self.nodes.iter_mut().filter(|node| whole && node.list != self.lists).for_each(NodeState::leaves);
         self.shards.arrange(&self.nodes);
     }
 
-    fn retrieval(
-        &mut self, now: Micros, r: usize, class: usize, tenant: usize, until: Micros, work: Micros,
-        _parts: usize, again: bool,
-    ) {
+    fn query_arrived(&mut self, now: Micros, arrival: &QueryArrival) {
+        let &QueryArrival {
+            query: QueryId(r), class, tenant, deadline: until, work, is_retry: again, ..
+        } = arrival;
         // Departure: a client's last try lasts what is left of its deadline, so it shows how much time is gone.
         Class::know(&mut self.classes, class + 1, &self.settings);
         let (settings, tenants) = (&self.settings, self.tenants.len());
@@ -736,25 +753,31 @@
         self.taken.push(now, 1.0);
     }
 
-    fn part(&mut self, now: Micros, r: usize, p: usize, shard: usize, weight: f64, _work: Micros) {
-        self.book.add(p, Part::new(r, shard, weight));
+    fn shard_request_arrived(&mut self, now: Micros, arrival: &ShardRequestArrival) {
+        let part = Part::new(arrival.query.0, arrival.shard, arrival.weight);
+        self.book.add(arrival.shard_request.0, part);
         self.taken.push(now, 1.0);
     }
 
-    fn outcome(
-        &mut self, now: Micros, p: usize, trial: usize, n: Node, outcome: Outcome, lag: Micros,
-        _load: &[(&str, f64)],
-    ) {
+    fn attempt_ended(&mut self, now: Micros, end: &AttemptEnd) {
+        let &AttemptEnd { attempt, node: NodeId(n), outcome, latency: lag, .. } = end;
+        let AttemptId { shard_request: ShardRequestId(p), number: AttemptNumber(trial) } = attempt;
         let Some(shot) = self.nodes[n].take(p, trial) else { return };
         let class = self.book.held(self.book.part(p).retrieval).class;
-        let lost = outcome == Outcome::Broken || outcome == Outcome::Withdrawn && lag > self.limit(class, n);
-        if matches!(outcome, Outcome::Broken | Outcome::Ok) && self.book.part(p).rest >= 0 {
+        let lost = outcome == AttemptOutcome::ConnectionLost
+            || outcome == AttemptOutcome::Cancelled && lag > self.limit(class, n);
+        if matches!(outcome, AttemptOutcome::ConnectionLost | AttemptOutcome::Succeeded)
+            && self.book.part(p).rest >= 0
+        {
             self.rested(now, lost, shot.rest);
         }
         // A node that turns all away tells nothing of the load while another answers: a refusal counts with the next.
-        let full = outcome == Outcome::Full;
-        let counts =
-            if full { [0, 2, 1][self.book.part(p).proven.min(2)] } else { (outcome == Outcome::Ok) as usize };
+        let full = outcome == AttemptOutcome::Rejected;
+        let counts = if full {
+            [0, 2, 1][self.book.part(p).proven.min(2)]
+        } else {
+            (outcome == AttemptOutcome::Succeeded) as usize
+        };
         (0..counts).for_each(|_| self.turned.push(now, full as u8 as f64));
         if !lost || shot.rest < self.doubtful {
             self.learn(now, n, class, outcome, lag);
@@ -764,37 +787,38 @@
     }
 
     /// Departure: sums are one piece of evidence each, for what befell more than half of the shots.
-    fn summed(&mut self, now: Micros, n: Node, sums: &Sums) {
-        let half = (sums.answered + sums.failed + sums.unreachable) / 2.0;
+    fn load_reported(&mut self, now: Micros, node: NodeId, sums: &LoadReport) {
+        let n = node.0;
+        let half = (sums.succeeded + sums.failed + sums.connect_failures) / 2.0;
         let named = |g: &usize| !self.settings.text(&format!("class.{g}.name")).is_empty();
         Class::know(&mut self.classes, (0..).take_while(named).count(), &self.settings);
-        self.nodes[n].told = Some((now, sums.held));
-        let outcome = if sums.unreachable > half {
-            Outcome::Unreachable
-        } else if sums.unreachable + sums.failed > half {
-            Outcome::Error
-        } else if sums.answered > 0.0 {
-            Outcome::Ok
+        self.nodes[n].told = Some((now, sums.in_flight));
+        let outcome = if sums.connect_failures > half {
+            AttemptOutcome::ConnectFailed
+        } else if sums.connect_failures + sums.failed > half {
+            AttemptOutcome::ServerError
+        } else if sums.succeeded > 0.0 {
+            AttemptOutcome::Succeeded
         } else {
             return;
         };
         // What failed strikes each class by itself in `learn`; an answer is told for each.
-        let classes = if outcome == Outcome::Ok { self.classes.len() } else { 1 };
-        (0..classes).for_each(|g| self.learn(now, n, g, outcome, sums.lag));
+        let classes = if outcome == AttemptOutcome::Succeeded { self.classes.len() } else { 1 };
+        (0..classes).for_each(|g| self.learn(now, n, g, outcome, sums.mean_latency));
         if let Some(g) = (0..self.classes.len()).min_by_key(|&g| self.classes[g].agreed) {
-            self.free(now, n, g, outcome, sums.lag);
+            self.free(now, n, g, outcome, sums.mean_latency);
         }
     }
 
-    fn client_left(&mut self, _now: Micros, r: usize) {
-        self.close(r);
+    fn client_disconnected(&mut self, _now: Micros, query: QueryId) {
+        self.close(query.0);
     }
 
-    fn timer(&mut self, _now: Micros, _token: u64) {
+    fn timer_expired(&mut self, _now: Micros, _token: u64) {
         self.timer_at = None;
     }
 
-    fn settle(&mut self, now: Micros, acts: &mut dyn Actions) {
+    fn decide(&mut self, now: Micros, acts: &mut dyn Actions) {
         let falls = self.falls.count(now - ALARM);
         if std::mem::replace(&mut self.cautious, falls >= FALLEN) != self.cautious {
             let first = if self.cautious { "ahead" } else { "together" };
@@ -817,15 +841,15 @@
                 match stage(self, now, r, acts) {
                     Step::Pass => {}
                     Step::Keep => break,
-                    Step::End(end) => {
+                    Step::Finish(end) => {
                         self.finish(now, r, end, acts);
                         break;
                     }
                 }
             }
         }
-        self.book.sweep(&mut self.ended).into_iter().for_each(|r| acts.forget(r));
-        self.book.unknown(&mut self.nodes, BOUND).for_each(|n| acts.release(n));
+        self.book.sweep(&mut self.ended).into_iter().for_each(|r| acts.release_query(QueryId(r)));
+        self.book.unknown(&mut self.nodes, BOUND).for_each(|n| acts.release_node(NodeId(n)));
         self.wake(now, acts);
     }
 }
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/state.rs
@@ -1,9 +1,12 @@
 //! What a router holds of its nodes, retrievals and parts. Mechanics only: no decision is taken here.
 
 use crate::samples::Samples;
-use crate::{Micros, Node, Outcome, Phase, Settings};
+use crate::{AttemptOutcome, EndpointState, Micros, Settings};
 use std::collections::BTreeMap;
 
+/// The index of a data node.
+pub type Node = usize;
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     Safe,
@@ -236,9 +239,9 @@
     }
 
     /// What a list says of it.
-    pub fn named(&mut self, zone: usize, cell: usize, phase: Phase, list: u64) {
+    pub fn named(&mut self, zone: usize, cell: usize, phase: EndpointState, list: u64) {
         (self.zone, self.cell, self.list) = (zone, cell, list);
-        (self.ready, self.gone) = (phase == Phase::Ready, phase == Phase::Gone);
+        (self.ready, self.gone) = (phase == EndpointState::Ready, phase == EndpointState::Removed);
     }
 
     /// A whole list does not name it.
@@ -440,16 +443,16 @@
     }
 
     /// Notes how a shot of a part ended.
-    pub fn ended(&mut self, part: usize, node: Node, outcome: Outcome) {
+    pub fn ended(&mut self, part: usize, node: Node, outcome: AttemptOutcome) {
         let held = self.held_mut(self.part(part).retrieval);
-        held.answered |= outcome == Outcome::Ok;
-        if outcome == Outcome::Broken && !held.fallen.contains(&node) {
+        held.answered |= outcome == AttemptOutcome::Succeeded;
+        if outcome == AttemptOutcome::ConnectionLost && !held.fallen.contains(&node) {
             held.fallen.push(node);
         }
         let part = self.part_mut(part);
         part.out -= 1;
-        part.done |= outcome == Outcome::Ok && !part.lost;
-        part.proven += outcome.never_ran() as usize;
+        part.done |= outcome == AttemptOutcome::Succeeded && !part.lost;
+        part.proven += outcome.proves_not_executed() as usize;
         if part.proven == part.shots.len() {
             part.may_have_run = None;
         }
--- a/crates/control-plane/src/control.rs
+++ b/crates/control-plane/src/control.rs
@@ -3,7 +3,7 @@
 
 use crate::catalog::{Catalog, Share, is_single};
 use crate::departures::Departures;
-use crate::fleet::{Fleet, Site, Wishes};
+use crate::fleet::{Fleet, Node, Site, Wishes};
 use crate::kinds::{Kind, Outline};
 use crate::ledger::{Ledger, Proxy, target};
 use crate::loads::{Loads, MOST_ENTRIES, Tally};
@@ -11,7 +11,7 @@
 use crate::options::Options;
 use crate::plan::Plan;
 use crate::session::{Heard, Mode, Response, Session};
-use balancer::{Listing, Micros, Node};
+use balancer::{EndpointUpdate, Micros};
 use query_router::config::Config;
 use serde_json::Value as Json;
 use settings_schema::ids::Ids;
@@ -140,7 +140,7 @@
             metrics: Metrics::new(),
             effects: Vec::new(),
         };
-        control.list(now, &config.known, Listing::Disk);
+        control.list(now, &config.known, EndpointUpdate::Cached);
         for class in control.site.classes.iter().filter(|class| class.effect == "idempotency_key") {
             tracing::warn!(class = class.name, "keyed: proxies refuse it, its keys can't be kept by them");
         }
@@ -148,11 +148,11 @@
     }
 
     /// A list of data nodes, or the news that there is none to be had.
-    pub fn list(&mut self, now: Micros, list: &Json, listing: Listing) {
+    pub fn list(&mut self, now: Micros, list: &Json, listing: EndpointUpdate) {
         let mut wishes = Wishes::default();
         self.fleet.list(now, list, listing, &mut wishes);
         match listing {
-            Listing::Failed => {
+            EndpointUpdate::Failed => {
                 self.metrics.lists_failed.inc();
                 self.watch_at = (!self.asked).then_some(now + ASK_AGAIN);
             }
--- a/crates/control-plane/src/departures.rs
+++ b/crates/control-plane/src/departures.rs
@@ -1,10 +1,11 @@
 //! Nodes that are to get no new work, and the proxies that may still act on a view in which they did. A drain is
 //! kept once each proxy has accepted a view without the node; a node that came back cold gets work again only then.
 
+use crate::fleet::Node;
 use crate::kinds::Kind;
 use crate::ledger::Proxy;
 use crate::session::Session;
-use balancer::{Micros, Node};
+use balancer::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -1,13 +1,19 @@
 //! The data nodes: the list as it was told, and the module that says how each of them stands. It decides nothing
 //! itself; the module runs here as it runs in a router, tick by tick.
 
-use balancer::{Actions, Balance, End, Events, Listing, Micros, Node, Settings, Standing, Sums};
+use balancer::{
+    Actions, Balancer, Completion, Endpoint, EndpointHealth, EndpointUpdate, Events, LoadReport, Micros,
+    NodeId, QueryId, Settings, ShardRequestId,
+};
 use query_router::config::{Config, numbered};
 use serde_json::Value as Json;
 use settings_schema::ids::Ids;
 use settings_schema::names;
 use std::net::SocketAddr;
 
+/// The index of a data node.
+pub type Node = usize;
+
 /// Nodes that a list may name: beyond them entries are passed over.
 const MOST_NODES: usize = 100_000;
 
@@ -27,13 +33,13 @@
 }
 
 impl Actions for Wishes {
-    fn send(&mut self, _part: usize, _node: Node, _allow: Micros) {}
-    fn finish(&mut self, _retrieval: usize, _end: End) {}
-    fn release(&mut self, node: Node) {
-        self.released.push(node);
+    fn send_attempt(&mut self, _shard_request: ShardRequestId, _node: NodeId, _timeout: Option<Micros>) {}
+    fn complete_query(&mut self, _query: QueryId, _completion: Completion) {}
+    fn release_node(&mut self, node: NodeId) {
+        self.released.push(node.0);
     }
-    fn subscribe(&mut self, on: bool) {
-        self.subscribe |= on;
+    fn watch_endpoints(&mut self, enabled: bool) {
+        self.subscribe |= enabled;
     }
     fn log(&mut self, line: &str) {
         self.lines.push(line.to_string());
@@ -41,7 +47,7 @@
 }
 
 pub struct Fleet {
-    balance: Balance,
+    balance: Balancer,
     ids: Ids<String>,
     places: Vec<Place>,
     pub zones: Vec<String>,
@@ -59,13 +65,13 @@
     pub at: SocketAddr,
     pub zone: usize,
     pub cell: usize,
-    pub standing: Standing,
+    pub standing: EndpointHealth,
 }
 
 impl Fleet {
     pub fn new(config: &Config) -> Fleet {
         Fleet {
-            balance: Balance::new(config.seed, config.settings.clone()),
+            balance: Balancer::new(config.seed, config.settings.clone()),
             ids: Ids::default(),
             places: Vec::new(),
             zones: numbered(&config.settings, "zone"),
@@ -76,8 +82,8 @@
     }
 
     /// A list in discovery's form, or the news that there is none.
-    pub fn list(&mut self, now: Micros, list: &Json, listing: Listing, wishes: &mut Wishes) {
-        self.balance.list_begins(now, listing);
+    pub fn list(&mut self, now: Micros, list: &Json, listing: EndpointUpdate, wishes: &mut Wishes) {
+        self.balance.endpoint_update_started(now, listing);
         for entry in list["members"].as_array().map_or(&[][..], Vec::as_slice) {
             let held = self.ids.count();
             let usable =
@@ -93,19 +99,29 @@
             }
             self.places[node] = Place { at: at.parse().ok(), zone, cell };
             self.unusable += self.places[node].at.is_none() as u64;
-            self.balance.listed(now, node, zone, cell, phase, size, up_since);
+            self.balance.endpoint_listed(
+                now,
+                &Endpoint {
+                    node: NodeId(node),
+                    zone,
+                    replica_set: cell,
+                    state: phase,
+                    scale: size,
+                    started_at: up_since,
+                },
+            );
             self.known = true;
-            self.told |= listing != Listing::Disk;
+            self.told |= listing != EndpointUpdate::Cached;
         }
-        self.balance.list_ends(now, wishes);
+        self.balance.endpoint_update_finished(now, wishes);
     }
 
-    pub fn summed(&mut self, now: Micros, node: Node, sums: &Sums) {
-        self.balance.summed(now, node, sums);
+    pub fn summed(&mut self, now: Micros, node: Node, sums: &LoadReport) {
+        self.balance.load_reported(now, NodeId(node), sums);
     }
 
     pub fn settle(&mut self, now: Micros, wishes: &mut Wishes) {
-        self.balance.settle(now, wishes);
+        self.balance.decide(now, wishes);
         for node in std::mem::take(&mut wishes.released) {
             self.ids.release(node);
             self.places[node] = Place::default();
@@ -116,9 +132,9 @@
     pub fn seen(&self, now: Micros) -> Vec<Seen<'_>> {
         let seen = self.places.iter().enumerate().filter_map(|(node, place)| {
             let (id, at) = (self.ids.key(node)?, place.at?);
-            let standing = self.balance.standing(now, node);
+            let standing = self.balance.endpoint_health(now, NodeId(node));
             let seen = Seen { node, id, at, zone: place.zone, cell: place.cell, standing };
-            (standing != Standing::Gone).then_some(seen)
+            (standing != EndpointHealth::Removed).then_some(seen)
         });
         let mut seen: Vec<Seen> = seen.collect();
         seen.sort_by(|a, b| a.id.cmp(b.id));
@@ -126,7 +142,8 @@
     }
 
     pub fn defers(&self, now: Micros, nodes: &[Node]) -> f64 {
-        self.balance.defers(now, nodes)
+        let nodes: Vec<NodeId> = nodes.iter().copied().map(NodeId).collect();
+        self.balance.shed_fraction(now, &nodes)
     }
 
     pub fn find(&self, at: &SocketAddr) -> Option<Node> {
--- a/crates/control-plane/src/loads.rs
+++ b/crates/control-plane/src/loads.rs
@@ -4,8 +4,9 @@
 //! more than the next one that reports on it. A lone voice is heard, for want of another; against one voice that
 //! saw the node answer it makes half, and the module bars for more than half.
 
+use crate::fleet::Node;
 use crate::ledger::Proxy;
-use balancer::{Micros, Node, Sums};
+use balancer::{LoadReport, Micros};
 use std::collections::BTreeMap;
 
 /// Entries that one report may have, and the most that one may count.
@@ -88,7 +89,7 @@
     }
 
     /// The evidence since the last settle, a sum for each node.
-    pub fn settle(&mut self) -> Vec<(Node, Sums)> {
+    pub fn settle(&mut self) -> Vec<(Node, LoadReport)> {
         let mut tried = std::mem::take(&mut self.tried);
         let said = std::mem::take(&mut self.said);
         let mut pooled: Vec<(Node, Tally)> = Vec::new();
@@ -109,12 +110,12 @@
         }
         pooled.extend(tried);
         pooled.sort_by_key(|entry| entry.0);
-        let sums = |tally: Tally| Sums {
-            answered: tally.answered,
+        let sums = |tally: Tally| LoadReport {
+            succeeded: tally.answered,
             failed: tally.failed,
-            unreachable: tally.unreachable,
-            held: tally.held,
-            lag: (tally.lags / tally.answered.max(1.0)) as Micros,
+            connect_failures: tally.unreachable,
+            in_flight: tally.held,
+            mean_latency: (tally.lags / tally.answered.max(1.0)) as Micros,
         };
         pooled.into_iter().map(|(node, tally)| (node, sums(tally))).collect()
     }
@@ -128,8 +129,8 @@
         Tally::checked(answered, errors, 0, 0, 1_000_000).expect("fit")
     }
 
-    fn failed_share(sums: &Sums) -> f64 {
-        (sums.failed + sums.unreachable) / (sums.answered + sums.failed + sums.unreachable)
+    fn failed_share(sums: &LoadReport) -> f64 {
+        (sums.failed + sums.connect_failures) / (sums.succeeded + sums.failed + sums.connect_failures)
     }
 
     #[test]
@@ -146,7 +147,7 @@
         // Nor does it fill a node by saying that it holds a billion there.
         loads.report(0, 5, &Tally::checked(0, 0, 1_000_000_000, 0, 1_000_000).expect("fit"));
         loads.report(1, 5, &Tally::checked(9, 0, 2, 0, 1_000_000).expect("fit"));
-        assert_eq!(loads.settle()[0].1.held, 4.0);
+        assert_eq!(loads.settle()[0].1.in_flight, 4.0);
         // Two that see it fail against one that doesn't are heard, and so is a lone one.
         (0..2).for_each(|proxy| loads.report(proxy, 5, &tally(0, 9)));
         loads.report(2, 5, &tally(9, 0));
@@ -163,8 +164,8 @@
         loads.tried(1, true);
         loads.tried(2, false);
         let sums = loads.settle();
-        assert_eq!((sums[0].1.answered, sums[0].1.failed), (0.0, 4.0));
-        assert_eq!((sums[1].0, sums[1].1.unreachable), (2, 1.0));
+        assert_eq!((sums[0].1.succeeded, sums[0].1.failed), (0.0, 4.0));
+        assert_eq!((sums[1].0, sums[1].1.connect_failures), (2, 1.0));
     }
 
     #[test]
@@ -175,6 +176,6 @@
         // Four in progress and two that end a second: two seconds each.
         let mut loads = Loads::default();
         loads.report(0, 0, &Tally::checked(2, 0, 4, 2, 1_000_000).expect("fit"));
-        assert_eq!(loads.settle()[0].1.lag, 2_000_000);
+        assert_eq!(loads.settle()[0].1.mean_latency, 2_000_000);
     }
 }
--- a/crates/control-plane/src/plan.rs
+++ b/crates/control-plane/src/plan.rs
@@ -2,9 +2,9 @@
 //! may be in flight at each, and how much of each zone's work stays there. The module's answers go in by steps, so
 //! that the plan changes when something did and not with every sample.
 
-use crate::fleet::{Fleet, Seen, Site};
+use crate::fleet::{Fleet, Node, Seen, Site};
 use crate::ledger::{divisor, step_down};
-use balancer::{Micros, Node, Standing};
+use balancer::{EndpointHealth, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -86,7 +86,9 @@
             plan.names.push(set_name(set));
         }
         for seen in &seen {
-            let (Standing::Doubtful { parts } | Standing::Cold { parts, .. }) = seen.standing else {
+            let (EndpointHealth::Suspect { capacity: parts }
+            | EndpointHealth::WarmingUp { capacity: parts, .. }) = seen.standing
+            else {
                 continue;
             };
             let sets: Vec<usize> = (0..plan.sets.len()).filter(|&set| holds(set, seen.cell)).collect();
@@ -100,10 +102,12 @@
     fn set(&self, now: Micros, fleet: &Fleet, site: &Site, nodes: &[&Seen], instances: u32) -> Set {
         let member = |seen: &&Seen| {
             let (health, parts) = match seen.standing {
-                Standing::Open { parts } => (Health::Healthy, step_down(parts as u32)),
-                Standing::BarredUntil(_) => (Health::Unhealthy, 0),
-                Standing::Draining => (Health::Draining, 0),
-                Standing::Doubtful { .. } | Standing::Cold { .. } | Standing::Gone => return None,
+                EndpointHealth::Healthy { capacity: parts } => (Health::Healthy, step_down(parts as u32)),
+                EndpointHealth::EjectedUntil(_) => (Health::Unhealthy, 0),
+                EndpointHealth::Draining => (Health::Draining, 0),
+                EndpointHealth::Suspect { .. }
+                | EndpointHealth::WarmingUp { .. }
+                | EndpointHealth::Removed => return None,
             };
             let Seen { node, at, zone, .. } = **seen;
             Some(Member { node, at, zone, health, parts })
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -7,7 +7,7 @@
 use crate::session::{Mode, Response};
 use crate::tls::{Tls, claims};
 use crate::watch::watch;
-use balancer::{Listing, Micros};
+use balancer::{EndpointUpdate, Micros};
 use query_router::config::Config;
 use serde_json::Value as Json;
 use std::collections::HashMap;
@@ -370,7 +370,7 @@
 /// Watches discovery each time the machine asks for it; a new address ends the watch at the old one.
 async fn follow(
     mut discovery: tokio::sync::watch::Receiver<SocketAddr>, go: Arc<Notify>,
-    to: mpsc::Sender<(Json, Listing)>,
+    to: mpsc::Sender<(Json, EndpointUpdate)>,
 ) {
     let mut revision = 0;
     loop {
@@ -389,7 +389,7 @@
         };
         let why = ended.err().unwrap_or_default();
         tracing::info!(discovery = %at, "the watch is over: {why}");
-        if to.send((Json::Null, Listing::Failed)).await.is_err() {
+        if to.send((Json::Null, EndpointUpdate::Failed)).await.is_err() {
             return;
         }
     }
--- a/crates/control-plane/src/watch.rs
+++ b/crates/control-plane/src/watch.rs
@@ -1,6 +1,6 @@
 //! The watch of discovery: the list, then each change as it is told, until the connection ends.
 
-use balancer::Listing;
+use balancer::EndpointUpdate;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper_util::rt::TokioIo;
@@ -17,7 +17,9 @@
 const MOST_LINE: usize = 64 << 20;
 
 /// Reads one watch to its end; `revision` moves on, and each list goes to `to`. What ends it is an error.
-pub async fn watch(at: SocketAddr, revision: &mut u64, to: &Sender<(Json, Listing)>) -> Result<(), String> {
+pub async fn watch(
+    at: SocketAddr, revision: &mut u64, to: &Sender<(Json, EndpointUpdate)>,
+) -> Result<(), String> {
     let wait = 2 * EMPTY_LINES;
     let silent = |_| "nothing was heard in time".to_string();
     let stream = timeout(wait, TcpStream::connect(at)).await.map_err(silent)?.map_err(|e| e.to_string())?;
@@ -51,11 +53,11 @@
                     serde_json::from_slice(text).map_err(|e| format!("a line is not JSON: {e}"))?;
                 let whole = list["complete"].as_bool().ok_or("complete: it is missing")?;
                 *revision = list["revision"].as_u64().unwrap_or(*revision);
-                let listing = if whole { Listing::Whole } else { Listing::Changes };
+                let listing = if whole { EndpointUpdate::Full } else { EndpointUpdate::Incremental };
                 to.send((list, listing)).await.map_err(|e| e.to_string())?;
             } else if first {
                 // Nothing changed since the revision that was named.
-                to.send((Json::Null, Listing::Changes)).await.map_err(|e| e.to_string())?;
+                to.send((Json::Null, EndpointUpdate::Incremental)).await.map_err(|e| e.to_string())?;
             }
             first = false;
             line.clear();
--- a/crates/control-plane/tests/machine.rs
+++ b/crates/control-plane/tests/machine.rs
@@ -2,7 +2,7 @@
 
 mod rig;
 
-use balancer::{Listing, Micros};
+use balancer::{EndpointUpdate, Micros};
 use control_plane::{Control, Effect, Fault, Kind, Mode, Service};
 use rig::{Rig, SECOND, START, address, config, options};
 use serde_json::Value as Json;
@@ -102,8 +102,8 @@
     let before = rig.messages();
     let list = |phase| serde_json::json!({"members": [rig::entry(0, 4, phase, 0)]});
     let (drains, returns) = (list("draining"), list("ready"));
-    rig.control.list(rig.now, &drains, Listing::Changes);
-    rig.control.list(rig.now, &returns, Listing::Changes);
+    rig.control.list(rig.now, &drains, EndpointUpdate::Incremental);
+    rig.control.list(rig.now, &returns, EndpointUpdate::Incremental);
     rig.pass(SECOND);
     // It was pushed at once, and taken back: the proxy ends where it was, with no late departure and no detour.
     assert!(rig.sims[proxy].of.view.uses(address(0)));
@@ -159,12 +159,16 @@
         // The list is not to be had at first, then empty, then as it was.
         let known: Vec<Json> = vec![rig::entry(0, 4, "ready", 0)];
         let mut control = Control::new(rig.now, &config(4, 2, known), options("expected = 12"));
-        control.list(rig.now, &Json::Null, Listing::Failed);
+        control.list(rig.now, &Json::Null, EndpointUpdate::Failed);
         rig.restart(control);
         rig.pass(3 * SECOND);
         assert!(rig.watches > 0);
         assert_eq!(rig.messages(), before, "an old list from before the start turns nobody back");
-        rig.control.list(rig.now, &serde_json::json!({"members": [], "complete": true}), Listing::Whole);
+        rig.control.list(
+            rig.now,
+            &serde_json::json!({"members": [], "complete": true}),
+            EndpointUpdate::Full,
+        );
         rig.pass(SECOND);
         assert_eq!(rig.messages(), before, "an empty list at the start empties nobody");
         rig.tell_all();
@@ -197,7 +201,7 @@
     rig.pass(SECOND);
     let before = rig.messages();
     for _ in 0..10 {
-        rig.control.list(rig.now, &Json::Null, Listing::Failed);
+        rig.control.list(rig.now, &Json::Null, EndpointUpdate::Failed);
         rig.pass(SECOND);
     }
     assert_eq!(rig.messages(), before, "what was known stays in force while discovery is out of reach");
@@ -243,7 +247,7 @@
     rig.pass(20 * SECOND);
     let before = rig.messages();
     let mut other = Control::new(rig.now, &config(4, 2, Vec::new()), options("expected = 6"));
-    other.list(rig.now, &serde_json::json!({"members": known, "complete": true}), Listing::Whole);
+    other.list(rig.now, &serde_json::json!({"members": known, "complete": true}), EndpointUpdate::Full);
     rig.restart(other);
     rig.pass(20 * SECOND);
     assert_eq!(rig.messages(), before);
@@ -477,7 +481,7 @@
             }
             4 => rig.cut(sim),
             5 => rig.sims[sim].cut_after = Some(rng.usize(1..4)),
-            6 => rig.control.list(rig.now, &Json::Null, Listing::Failed),
+            6 => rig.control.list(rig.now, &Json::Null, EndpointUpdate::Failed),
             _ => rig.tell_all(),
         }
         let back: Vec<usize> = (0..rig.sims.len()).filter(|&i| rig.sims[i].stream.is_none()).collect();
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -2,7 +2,7 @@
 //! proxy after that proxy's lag, and what must hold is looked at after each step.
 #![allow(dead_code)]
 
-use balancer::{Listing, Micros};
+use balancer::{EndpointUpdate, Micros};
 use control_plane::{Control, Effect, Mode, Options, Response, Service, Stream, TICK};
 use operator_config::File;
 use query_router::config::Config;
@@ -119,7 +119,7 @@
     pub fn tell_all(&mut self) {
         let members: Vec<&Json> = self.members.values().collect();
         let list = json!({"revision": 1, "complete": true, "members": members});
-        self.control.list(self.now, &list, Listing::Whole);
+        self.control.list(self.now, &list, EndpointUpdate::Full);
         self.effects();
     }
 
@@ -138,7 +138,7 @@
             }
         }
         let list = json!({"revision": 2, "complete": false, "members": entries});
-        self.control.list(self.now, &list, Listing::Changes);
+        self.control.list(self.now, &list, EndpointUpdate::Incremental);
         self.effects();
     }
 
--- a/crates/query-router/src/clients.rs
+++ b/crates/query-router/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::http::{self, MOST_REQUEST, Request};
 use crate::query::Terms;
 use crate::reducer::{Desk, Kind, Peer, Router};
-use balancer::{Events, Micros};
+use balancer::{Events, Micros, QueryArrival, QueryId, ShardRequestArrival, ShardRequestId};
 
 /// How long a new connection is left in peace without a request, as the operators state it.
 const SILENT: Micros = 2_000_000;
@@ -317,10 +317,30 @@
         desk.client(conn).hand = Hand::Retrieval(retrieval);
         let work = query.segments.iter().map(|s| s.2).sum();
         let (class, parts) = (query.class, query.segments.len());
-        self.balance.retrieval(now, retrieval, class, query.tenant, until, work, parts, request.again);
+        self.balance.query_arrived(
+            now,
+            &QueryArrival {
+                query: QueryId(retrieval),
+                class,
+                tenant: query.tenant,
+                deadline: until,
+                work,
+                shard_requests: parts,
+                is_retry: request.again,
+            },
+        );
         for (shard, weight, work) in query.segments {
             let part = self.desk.gather.add(retrieval, shard);
-            self.balance.part(now, retrieval, part, shard, weight, work);
+            self.balance.shard_request_arrived(
+                now,
+                &ShardRequestArrival {
+                    shard_request: ShardRequestId(part),
+                    query: QueryId(retrieval),
+                    shard,
+                    weight,
+                    work,
+                },
+            );
         }
         self.desk.unsettled = true;
     }
@@ -330,7 +350,7 @@
             self.desk.gather.leave(retrieval);
             self.desk.take_back(retrieval);
             self.desk.counters.retrievals_left_by_client += 1;
-            self.balance.client_left(self.desk.now, retrieval);
+            self.balance.client_disconnected(self.desk.now, QueryId(retrieval));
             self.desk.unsettled = true;
         }
         self.desk.close(conn);
--- a/crates/query-router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::objects::{MOST_LIST, Next, Objects};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
-use balancer::{Events, Listing, Micros, Phase};
+use balancer::{Endpoint, EndpointState, EndpointUpdate, Events, Micros, NodeId};
 use serde_json::Value as Json;
 use settings_schema::ids::Ids;
 use settings_schema::names;
@@ -177,7 +177,7 @@
 impl Router {
     /// The list held from before the start.
     pub fn known(&mut self, list: &Json) {
-        self.list(list, Listing::Disk);
+        self.list(list, EndpointUpdate::Cached);
         if !self.desk.discovery.asked {
             self.desk.watch(true);
         }
@@ -276,9 +276,9 @@
                         continue;
                     }
                     self.desk.call_mut(conn).revision = revision;
-                    self.list(&json, if whole { Listing::Whole } else { Listing::Changes });
+                    self.list(&json, if whole { EndpointUpdate::Full } else { EndpointUpdate::Incremental });
                 }
-                _ if first => self.list(&Json::Null, Listing::Changes),
+                _ if first => self.list(&Json::Null, EndpointUpdate::Incremental),
                 _ => {}
             }
         }
@@ -305,7 +305,7 @@
         let list = serde_json::from_slice(&call.body).map_err(|_| "the list is not JSON");
         match list.and_then(|list: Json| usable(&list, true).map(|_| list)) {
             Ok(list) => {
-                self.list(&list, Listing::Whole);
+                self.list(&list, EndpointUpdate::Full);
                 self.desk.close(conn);
             }
             Err(why) => self.call_unusable(conn, why),
@@ -339,23 +339,23 @@
             }
             self.desk.timers.insert((at, Alarm::Watch));
         }
-        self.balance.list_begins(now, Listing::Failed);
-        self.balance.list_ends(now, &mut self.desk);
+        self.balance.endpoint_update_started(now, EndpointUpdate::Failed);
+        self.balance.endpoint_update_finished(now, &mut self.desk);
         self.desk.unsettled = true;
     }
 
     /// Tells the module a list in discovery's form, entry by entry.
-    pub fn list(&mut self, list: &Json, listing: Listing) {
+    pub fn list(&mut self, list: &Json, listing: EndpointUpdate) {
         let now = self.desk.now;
         let desk = &mut self.desk;
         desk.discovery.revision = list["revision"].as_u64().unwrap_or(desk.discovery.revision);
         desk.discovery.lists += 1;
         let number = desk.discovery.lists;
         match listing {
-            Listing::Changes => desk.counters.lists_changes += 1,
+            EndpointUpdate::Incremental => desk.counters.lists_changes += 1,
             _ => desk.counters.lists_whole += 1,
         }
-        self.balance.list_begins(now, listing);
+        self.balance.endpoint_update_started(now, listing);
         for member in list["members"].as_array().map_or(&[][..], Vec::as_slice) {
             let Some((id, at, zone, cell, phase, size, up_since)) = names::member(member) else {
                 tracing::warn!("a member of the list could not be used: {member}");
@@ -370,15 +370,25 @@
             }
             let place = &mut places[node];
             place.at = at.parse().ok();
-            (place.ready, place.up_since, place.list) = (phase == Phase::Ready, up_since, number);
+            (place.ready, place.up_since, place.list) = (phase == EndpointState::Ready, up_since, number);
             place.released = false;
-            self.balance.listed(now, node, zone, cell, phase, size, up_since);
+            self.balance.endpoint_listed(
+                now,
+                &Endpoint {
+                    node: NodeId(node),
+                    zone,
+                    replica_set: cell,
+                    state: phase,
+                    scale: size,
+                    started_at: up_since,
+                },
+            );
         }
-        if listing != Listing::Changes {
+        if listing != EndpointUpdate::Incremental {
             desk.scatter.nodes.iter_mut().for_each(|place| place.ready &= place.list == number);
         }
         (0..desk.scatter.nodes.len()).for_each(|node| desk.turn_from(node));
-        self.balance.list_ends(now, &mut self.desk);
+        self.balance.endpoint_update_finished(now, &mut self.desk);
         self.desk.unsettled = true;
     }
 }
--- a/crates/query-router/src/effects.rs
+++ b/crates/query-router/src/effects.rs
@@ -4,6 +4,8 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
+/// The index of a data node.
+pub type Node = usize;
 /// The index of a connection; the reducer hands it out and may use it again once it was closed.
 pub type Conn = usize;
 /// Bytes to be written, shared where several connections get the same.
--- a/crates/query-router/src/frames.rs
+++ b/crates/query-router/src/frames.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use balancer::Outcome;
+use balancer::AttemptOutcome;
 
 /// The longest line before a value, and the longest frame: that and the protocol's limit on a body.
 const MOST_LINE: usize = 1024;
@@ -50,14 +50,14 @@
 /// A data node's word on a part: its id, how it ended, the load report and the value. The report is for the
 /// reader to judge, since an answer is good without it. No value holds control characters: one that does
 /// has swallowed part of another frame, whose length begins with a zero.
-pub fn answer(rest: &[u8]) -> Option<(&str, Outcome, &[u8], &str)> {
+pub fn answer(rest: &[u8]) -> Option<(&str, AttemptOutcome, &[u8], &str)> {
     let (line, value) = rest.split_at(rest.iter().position(|&b| b == b'\n')?);
     let mut words = line.splitn(4, |&b| b == b' ');
     let id = std::str::from_utf8(words.next()?).ok()?;
     let outcome = match words.next()? {
-        b"OK" => Outcome::Ok,
-        b"ERROR" => Outcome::Error,
-        b"REJECTED" => Outcome::Full,
+        b"OK" => AttemptOutcome::Succeeded,
+        b"ERROR" => AttemptOutcome::ServerError,
+        b"REJECTED" => AttemptOutcome::Rejected,
         _ => return None,
     };
     let score: Option<f64> = std::str::from_utf8(words.next()?).ok()?.parse().ok();
--- a/crates/query-router/src/frames/tests.rs
+++ b/crates/query-router/src/frames/tests.rs
@@ -10,7 +10,7 @@
         assert_eq!(read(&bytes[..end]), Read::More, "{end} bytes");
     }
     assert_eq!(read(&bytes), Read::Frame(b'Y', rest, 5 + rest.len()));
-    assert_eq!(answer(rest), Some(("t.3", Outcome::Ok, &b"inflight=7"[..], "value")));
+    assert_eq!(answer(rest), Some(("t.3", AttemptOutcome::Succeeded, &b"inflight=7"[..], "value")));
 }
 
 #[test]
@@ -33,6 +33,6 @@
 fn an_answer_is_good_whatever_its_report_holds() {
     for report in [&b"%%%"[..], b"=,=", b"nan", b"\xff\xfe", b"a=1 b=2"] {
         let rest = [b"t.3 OK 17 ", report, b"\nvalue"].concat();
-        assert_eq!(answer(&rest), Some(("t.3", Outcome::Ok, report, "value")));
+        assert_eq!(answer(&rest), Some(("t.3", AttemptOutcome::Succeeded, report, "value")));
     }
 }
--- a/crates/query-router/src/gather.rs
+++ b/crates/query-router/src/gather.rs
@@ -1,9 +1,9 @@
 //! What is in hand of each retrieval, and the answers to clients.
 
 use crate::counters::must;
-use crate::effects::{Conn, Piece};
+use crate::effects::{Conn, Node, Piece};
 use crate::reducer::Desk;
-use balancer::{End, Micros, Node};
+use balancer::{Completion, Micros};
 use serde_json::{Value as Json, json};
 use slab::Slab;
 use std::collections::HashSet;
@@ -99,25 +99,24 @@
 
 impl Desk {
     /// Writes a retrieval's final answer.
-    pub fn answer(&mut self, conn: Conn, retrieval: usize, end: End) {
+    pub fn answer(&mut self, conn: Conn, retrieval: usize, end: Completion) {
         let count = match end {
-            End::Whole => &mut self.counters.finished_whole,
-            End::Part => &mut self.counters.finished_part,
-            End::Deferred(_) => &mut self.counters.deferred,
-            End::GivenUp => &mut self.counters.given_up,
+            Completion::Complete => &mut self.counters.finished_whole,
+            Completion::Partial => &mut self.counters.finished_part,
+            Completion::Rejected { .. } => &mut self.counters.deferred,
+            Completion::Failed => &mut self.counters.given_up,
         };
         *count += 1;
         match end {
-            End::Whole | End::Part => {
-                let (body, values) = self.gather.body(retrieval, end == End::Whole);
+            Completion::Complete | Completion::Partial => {
+                let (body, values) = self.gather.body(retrieval, end == Completion::Complete);
                 must!(self.counters, values > 0, "an answer has a value");
                 self.reply(conn, 200, "application/json", body, None);
             }
-            End::Deferred(wait) => {
-                let advice = Some(wait).filter(|&wait| wait > 0);
-                self.reply(conn, 503, "text/plain", b"deferred\n".to_vec(), advice);
+            Completion::Rejected { retry_after } => {
+                self.reply(conn, 503, "text/plain", b"deferred\n".to_vec(), retry_after);
             }
-            End::GivenUp => self.reply(conn, 502, "text/plain", b"given up\n".to_vec(), None),
+            Completion::Failed => self.reply(conn, 502, "text/plain", b"given up\n".to_vec(), None),
         }
     }
 
--- a/crates/query-router/src/links.rs
+++ b/crates/query-router/src/links.rs
@@ -1,10 +1,10 @@
 //! Connections to data nodes: what waits for them, what is out on them, and how they end.
 
-use crate::effects::{Conn, Effect, Piece};
+use crate::effects::{Conn, Effect, Node, Piece};
 use crate::frames::{self, Read};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
-use balancer::{Events, Micros, Node, Outcome};
+use balancer::{AttemptOutcome, Events, HealthCheckEnd, LoadMetric, Micros, NodeId};
 use settings_schema::names;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -276,7 +276,7 @@
         let shots: Vec<ShotId> = link.queued().collect();
         for (part, trial) in shots {
             if self.gather.parts[part].shots[trial].until <= now {
-                self.give_up(part, trial, Outcome::Unsent);
+                self.give_up(part, trial, AttemptOutcome::NotSent);
             }
         }
         let Kind::Link(link) = &mut self.peers[conn].kind else { return };
@@ -383,7 +383,7 @@
         let place = self.scatter.nodes[node].clone();
         if !place.ready {
             let waiting = self.scatter.waiting(node);
-            waiting.into_iter().for_each(|(part, trial)| self.give_up(part, trial, Outcome::Unsent));
+            waiting.into_iter().for_each(|(part, trial)| self.give_up(part, trial, AttemptOutcome::NotSent));
         }
         for conn in place.links {
             let link = self.link(conn);
@@ -396,7 +396,7 @@
             }
             let shots: Vec<ShotId> = link.queued().collect();
             for (part, trial) in shots {
-                self.give_up(part, trial, Outcome::Unsent);
+                self.give_up(part, trial, AttemptOutcome::NotSent);
             }
             if self.link(conn).idle_since().is_some() {
                 self.close_link(conn);
@@ -480,7 +480,7 @@
                 };
                 let Out { id, part, trial, .. } = link.out.remove(at);
                 link.answered = Some(id);
-                if outcome == Outcome::Ok {
+                if outcome == AttemptOutcome::Succeeded {
                     self.desk.gather.parts[part].value.get_or_insert_with(|| value.to_string());
                 }
                 let load = std::str::from_utf8(report).ok().and_then(|report| names::load(report, '='));
@@ -489,7 +489,8 @@
             }
             b'G' | b'T' => {
                 let Ok(text) = std::str::from_utf8(rest) else { return false };
-                let outcome = if text == "ERROR" { Outcome::Error } else { Outcome::Ok };
+                let outcome =
+                    if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
                 let report = if matches!(text, "OK" | "ERROR" | "-") { "" } else { text };
                 self.probe_ended(conn, outcome, &names::load(report, '=').unwrap_or_default());
                 true
@@ -505,19 +506,22 @@
         }
     }
 
-    fn probe_ended(&mut self, conn: Conn, outcome: Outcome, load: &[(&str, f64)]) {
+    fn probe_ended(&mut self, conn: Conn, outcome: AttemptOutcome, load: &[LoadMetric]) {
         let (now, wait) = (self.desk.now, self.desk.scatter.connect);
         let link = self.desk.link(conn);
         let node = link.node;
         let Some(due) = link.probes.pop_front() else { return };
         self.desk.timers.remove(&(due, Alarm::Probe(conn)));
-        self.balance.probed(now, node, outcome, now - (due - wait), load);
+        self.balance.health_check_ended(
+            now,
+            &HealthCheckEnd { node: NodeId(node), outcome, latency: now - (due - wait), load },
+        );
         self.desk.unsettled = true;
     }
 
     /// A probe was not answered in time; so that a late answer is not taken for another's, all goes.
     pub fn probe_overdue(&mut self, conn: Conn) {
-        self.probe_ended(conn, Outcome::Overdue, &[]);
+        self.probe_ended(conn, AttemptOutcome::TimedOut, &[]);
         self.desk.effects.push(Effect::Break(conn));
     }
 
@@ -538,18 +542,22 @@
         let queued: Vec<ShotId> = link.queued().collect();
         let out = std::mem::take(&mut link.out);
         // One that was up and ends before a frame is written says nothing of whether its node can be reached.
-        let unsent = if up { Outcome::Unsent } else { Outcome::Unreachable };
+        let unsent = if up { AttemptOutcome::NotSent } else { AttemptOutcome::ConnectFailed };
         if !up {
             self.desk.counters.links_failed += 1;
         }
         while !self.desk.link(conn).probes.is_empty() {
-            self.probe_ended(conn, if up { Outcome::Broken } else { Outcome::Unreachable }, &[]);
+            self.probe_ended(
+                conn,
+                if up { AttemptOutcome::ConnectionLost } else { AttemptOutcome::ConnectFailed },
+                &[],
+            );
         }
         for Out { part, trial, end, .. } in out {
             let outcome = match (cut, end <= written) {
-                (Cut::No, true) => Outcome::Broken,
-                (Cut::Spoilt(shot), true) if shot == (part, trial) => Outcome::Spoilt,
-                (_, true) => Outcome::Withdrawn,
+                (Cut::No, true) => AttemptOutcome::ConnectionLost,
+                (Cut::Spoilt(shot), true) if shot == (part, trial) => AttemptOutcome::MalformedResponse,
+                (_, true) => AttemptOutcome::Cancelled,
                 (_, false) => unsent,
             };
             self.shot_ended(part, trial, outcome, &[]);
--- a/crates/query-router/src/reducer.rs
+++ b/crates/query-router/src/reducer.rs
@@ -8,11 +8,14 @@
 use crate::config::Config;
 use crate::counters::{Counters, must};
 use crate::discovery::{self, Discovery};
-use crate::effects::{Conn, Effect, Event};
+use crate::effects::{Conn, Effect, Event, Node};
 use crate::gather::Gather;
 use crate::links::Link;
 use crate::scatter::Scatter;
-use balancer::{Actions, Balance, End, Events, Micros, Node, Outcome};
+use balancer::{
+    Actions, AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Balancer, Completion, Events, Micros,
+    NodeId, QueryId, ShardRequestId,
+};
 use slab::Slab;
 use std::collections::BTreeSet;
 
@@ -54,7 +57,7 @@
 }
 
 /// The end of a shot that the module has not heard of yet.
-type News = (usize, usize, Node, Outcome, Micros);
+type News = (usize, usize, Node, AttemptOutcome, Micros);
 
 /// All that the router holds but the module.
 pub struct Desk {
@@ -82,7 +85,7 @@
 }
 
 pub struct Router {
-    pub balance: Balance,
+    pub balance: Balancer,
     pub desk: Desk,
 }
 
@@ -108,7 +111,7 @@
             most_peers: config.sockets.saturating_sub(OTHER_FILES).max(1),
             timer: None,
         };
-        let mut router = Router { balance: Balance::new(config.seed, config.settings.clone()), desk };
+        let mut router = Router { balance: Balancer::new(config.seed, config.settings.clone()), desk };
         router.known(&config.known);
         router
     }
@@ -158,10 +161,10 @@
             self.desk.timers.remove(&(at, alarm));
             match alarm {
                 Alarm::Module(token) => {
-                    self.balance.timer(now, token);
+                    self.balance.timer_expired(now, token);
                     self.desk.unsettled = true;
                 }
-                Alarm::Shot(part, trial) => self.desk.give_up(part, trial, Outcome::Overdue),
+                Alarm::Shot(part, trial) => self.desk.give_up(part, trial, AttemptOutcome::TimedOut),
                 Alarm::Probe(conn) => self.probe_overdue(conn),
                 Alarm::Watch => self.desk.watch(true),
                 Alarm::Stop => self.desk.close_idle_clients(),
@@ -186,7 +189,16 @@
             self.discovery_failed();
         }
         for (part, trial, node, outcome, lag) in std::mem::take(&mut self.desk.news) {
-            self.balance.outcome(now, part, trial, node, outcome, lag, &[]);
+            self.balance.attempt_ended(
+                now,
+                &AttemptEnd {
+                    attempt: AttemptId::new(ShardRequestId(part), AttemptNumber(trial)),
+                    node: NodeId(node),
+                    outcome,
+                    latency: lag,
+                    load: &[],
+                },
+            );
             self.desk.unsettled = true;
         }
         // Guards against deciding on half of what one instant brings: asked for each event alone, the module
@@ -195,7 +207,7 @@
         if due && std::mem::take(&mut self.desk.unsettled) {
             self.desk.settled = now;
             self.desk.counters.turns += 1;
-            self.balance.settle(now, &mut self.desk);
+            self.balance.decide(now, &mut self.desk);
         }
         let desk = &mut self.desk;
         desk.write_calls();
@@ -292,13 +304,14 @@
 }
 
 impl Actions for Desk {
-    fn send(&mut self, part: usize, node: Node, allow: Micros) {
-        self.send_shot(part, node, allow);
+    fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>) {
+        self.send_shot(shard_request.0, node.0, timeout);
     }
-    fn withdraw(&mut self, part: usize, trial: usize) {
-        self.give_up(part, trial, Outcome::Withdrawn);
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        self.give_up(attempt.shard_request.0, attempt.number.0, AttemptOutcome::Cancelled);
     }
-    fn finish(&mut self, retrieval: usize, end: End) {
+    fn complete_query(&mut self, query: QueryId, end: Completion) {
+        let retrieval = query.0;
         let client = self.gather.leave(retrieval);
         must!(self.counters, client.is_some(), "one final answer");
         self.take_back(retrieval);
@@ -306,10 +319,11 @@
             self.answer(conn, retrieval, end);
         }
     }
-    fn forget(&mut self, retrieval: usize) {
-        self.drop_retrieval(retrieval);
+    fn release_query(&mut self, query: QueryId) {
+        self.drop_retrieval(query.0);
     }
-    fn release(&mut self, node: Node) {
+    fn release_node(&mut self, node: NodeId) {
+        let node = node.0;
         self.scatter.nodes[node].released = true;
         self.close_idle_links(node);
         self.drop_node(node);
@@ -317,16 +331,16 @@
     fn set_timer(&mut self, wait: Micros, token: u64) {
         self.timers.insert((self.now + wait, Alarm::Module(token)));
     }
-    fn probe(&mut self, node: Node) {
-        self.send_probe(node);
+    fn check_health(&mut self, node: NodeId) {
+        self.send_probe(node.0);
     }
-    fn let_go(&mut self, node: Node) {
-        self.close_idle_links(node);
+    fn close_idle_connections(&mut self, node: NodeId) {
+        self.close_idle_links(node.0);
     }
-    fn subscribe(&mut self, on: bool) {
-        self.watch(on);
+    fn watch_endpoints(&mut self, enabled: bool) {
+        self.watch(enabled);
     }
-    fn reload(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.call(false);
     }
     fn log(&mut self, line: &str) {
--- a/crates/query-router/src/reducer/tests.rs
+++ b/crates/query-router/src/reducer/tests.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::effects::Piece;
 use crate::frames;
-use balancer::Listing;
+use balancer::EndpointUpdate;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -339,7 +339,7 @@
     bench.ask("look", "t1");
     let (first, port) = bench.up();
     let node = if port == 71 { 0 } else { 1 };
-    bench.router.desk.send_shot(0, node, 0);
+    bench.router.desk.send_shot(0, node, None);
     bench.router.desk.write_calls();
     bench.effects();
     let (second, _) = bench.up();
@@ -396,7 +396,7 @@
     let part = bench.router.desk.gather.parts.iter().find(|p| &*p.1.id == "t2.0").expect("a part").0;
     let (silent, _) = bench.up();
     bench.router.desk.gather.parts[part].value = Some("alpha".into());
-    bench.router.desk.give_up(part, 0, Outcome::Withdrawn);
+    bench.router.desk.give_up(part, 0, AttemptOutcome::Cancelled);
     bench.effects();
     let ids = ["t3.0".into()];
     let other = bench.router.desk.link_for(node, &ids);
@@ -588,7 +588,7 @@
         serde_json::json!({"id": id, "host_port": format!("127.0.0.1:{port}"), "cell": 0, "phase": phase})
     });
     let list = serde_json::json!({"revision": 42, "members": members.collect::<Vec<_>>()});
-    bench.router.list(&list, Listing::Changes);
+    bench.router.list(&list, EndpointUpdate::Incremental);
     bench.tell(Event::Ended(clients[0], 0));
     bench.settle();
     let (_, port) = bench.up();
@@ -606,7 +606,7 @@
             "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": up}]})
     };
     // Not up yet: taken back unsent and sent elsewhere.
-    bench.router.list(&list("draining", 0), Listing::Changes);
+    bench.router.list(&list("draining", 0), EndpointUpdate::Incremental);
     bench.settle();
     bench.settle();
     assert_eq!(bench.router.desk.counters.shots_unsent, 2);
@@ -614,13 +614,13 @@
     let (other, other_port) = bench.up();
     assert!(other_port != port && bench.said(link).is_empty() && bench.said(other).contains("t1.0"));
     // Up before the process started: it is gone, and what was out on it may have run.
-    bench.router.list(&list("ready", 0), Listing::Changes);
+    bench.router.list(&list("ready", 0), EndpointUpdate::Incremental);
     bench.now += 100_000;
     let up = (bench.now - 50_000) / 1000;
     let id = if other_port == 71 { "a" } else { "b" };
     let fresh = serde_json::json!({"revision": 51, "members": [{"id": id, "cell": 0, "phase": "ready",
         "host_port": format!("127.0.0.1:{other_port}"), "size": 1.0, "up_since_ms": up}]});
-    bench.router.list(&fresh, Listing::Changes);
+    bench.router.list(&fresh, EndpointUpdate::Incremental);
     bench.effects();
     assert_eq!((bench.router.desk.counters.shots_broken, bench.closed.contains(&other)), (2, true));
 }
@@ -633,12 +633,14 @@
         // It goes while its parts are out, and they are answered afterwards.
         let ids = ["a", "b"].map(|id| serde_json::json!({"id": id, "cell": 0, "phase": "gone"}));
         let members = [vec![member(i, "ready")], ids.to_vec()].concat();
-        bench.router.list(&serde_json::json!({"revision": 42 + i, "members": members}), Listing::Changes);
+        bench
+            .router
+            .list(&serde_json::json!({"revision": 42 + i, "members": members}), EndpointUpdate::Incremental);
         bench.settle();
         let client = bench.ask("look", &format!("t{i}"));
         let (link, _) = bench.up();
         let gone = serde_json::json!({"revision": 42 + i, "members": [member(i, "gone")]});
-        bench.router.list(&gone, Listing::Changes);
+        bench.router.list(&gone, EndpointUpdate::Incremental);
         bench.settle();
         bench.answer(link, &format!("t{i}.0 OK 5 -"), "alpha");
         bench.answer(link, &format!("t{i}.1 OK 5 -"), "beta");
@@ -664,7 +666,7 @@
     let id = if port == 71 { "a" } else { "b" };
     let list = serde_json::json!({"revision": 42, "complete": true, "members": [
         {"id": id, "host_port": "127.0.0.1:73", "cell": 0, "phase": "ready"}]});
-    bench.router.list(&list, Listing::Whole);
+    bench.router.list(&list, EndpointUpdate::Full);
     bench.effects();
     // What is out may still be answered; what is new goes to the new address.
     bench.answer(link, "t1.0 OK 5 -", "alpha");
--- a/crates/query-router/src/reducer/tests/disorder.rs
+++ b/crates/query-router/src/reducer/tests/disorder.rs
@@ -6,7 +6,7 @@
 
 /// A far end of a connection.
 #[derive(Default)]
-struct End {
+struct RemoteEnd {
     /// What it was sent, and how many bytes of that are taken by the system.
     sent: Vec<u8>,
     taken: usize,
@@ -23,7 +23,7 @@
     router: Router,
     now: Micros,
     rng: fastrand::Rng,
-    ends: BTreeMap<Conn, End>,
+    ends: BTreeMap<Conn, RemoteEnd>,
     /// Effects in the loop's order, and what it tells after them.
     after: Vec<After>,
     queries: u64,
@@ -105,10 +105,10 @@
         match effect {
             Effect::Adopt(conn) => {
                 self.answers.remove(&conn);
-                assert!(self.ends.insert(conn, End { up: true, ..End::default() }).is_none());
+                assert!(self.ends.insert(conn, RemoteEnd { up: true, ..RemoteEnd::default() }).is_none());
             }
             Effect::Connect(conn, to) => {
-                let end = End { port: Some(to.port()), ..End::default() };
+                let end = RemoteEnd { port: Some(to.port()), ..RemoteEnd::default() };
                 assert!(self.ends.insert(conn, end).is_none());
             }
             Effect::Taken(conn, count) => {
@@ -194,7 +194,7 @@
         }
     }
 
-    fn one(&mut self, of: impl Fn(&End) -> bool) -> Option<Conn> {
+    fn one(&mut self, of: impl Fn(&RemoteEnd) -> bool) -> Option<Conn> {
         let fits: Vec<Conn> = self.ends.iter().filter(|end| of(end.1)).map(|end| *end.0).collect();
         self.rng.choice(fits)
     }
@@ -296,8 +296,8 @@
     }
 
     fn something(&mut self) {
-        let node = |end: &End| end.port.is_some_and(|port| port != 9);
-        let client = |end: &End| end.port.is_none();
+        let node = |end: &RemoteEnd| end.port.is_some_and(|port| port != 9);
+        let client = |end: &RemoteEnd| end.port.is_none();
         match self.rng.u8(0..40) {
             0..=3 => self.tell(Event::Arrived),
             4..=11 => {
--- a/crates/query-router/src/scatter.rs
+++ b/crates/query-router/src/scatter.rs
@@ -2,11 +2,13 @@
 
 use crate::config::Config;
 use crate::counters::must;
-use crate::effects::{Conn, Effect};
+use crate::effects::{Conn, Effect, Node};
 use crate::gather::Shot;
 use crate::links::{Left, ShotId};
 use crate::reducer::{Alarm, Desk, Router};
-use balancer::{Events, Micros, Node, Outcome};
+use balancer::{
+    AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Events, LoadMetric, Micros, NodeId, ShardRequestId,
+};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -71,13 +73,13 @@
 
 impl Desk {
     /// A shot of the module's, put to the others of this settle for the same node.
-    pub fn send_shot(&mut self, part: usize, node: Node, allow: Micros) {
+    pub fn send_shot(&mut self, part: usize, node: Node, timeout: Option<Micros>) {
         let now = self.now;
         self.counters.shots_asked += 1;
         let held = &mut self.gather.parts[part];
         let retrieval = &self.gather.retrievals[held.retrieval];
         must!(self.counters, !retrieval.ended(), "no shot after the final answer");
-        let until = if allow > 0 { retrieval.until.min(now + allow) } else { retrieval.until };
+        let until = timeout.map_or(retrieval.until, |timeout| retrieval.until.min(now + timeout));
         let trial = held.shots.len();
         held.shots.push(Shot { node, at: now, until, link: None, over: false });
         self.timers.insert((until, Alarm::Shot(part, trial)));
@@ -109,7 +111,9 @@
         let mut touched: Vec<Conn> = self.hand_over();
         for (node, shots) in std::mem::take(&mut self.scatter.calls) {
             if self.scatter.nodes[node].at.is_none() {
-                shots.into_iter().for_each(|(part, trial)| self.report(part, trial, Outcome::Unreachable));
+                shots
+                    .into_iter()
+                    .for_each(|(part, trial)| self.report(part, trial, AttemptOutcome::ConnectFailed));
                 continue;
             }
             match self.link_for(node, &self.ids(&shots)) {
@@ -134,7 +138,7 @@
                 // The connection of one that is over may be another's by now.
                 let (over, conn) = (shot.over, shot.link);
                 if !over && !conn.is_some_and(|conn| self.link(conn).wrote((part, trial))) {
-                    self.give_up(part, trial, Outcome::Unsent);
+                    self.give_up(part, trial, AttemptOutcome::NotSent);
                 }
             }
         }
@@ -142,21 +146,21 @@
 
     /// Stops waiting for a shot. What was not begun is taken back unsent; a frame that stands half written
     /// ends with its connection, since a part must not arrive after its retrieval has ended.
-    pub fn give_up(&mut self, part: usize, trial: usize, outcome: Outcome) {
+    pub fn give_up(&mut self, part: usize, trial: usize, outcome: AttemptOutcome) {
         let Some(shot) = self.gather.parts.get(part).and_then(|p| p.shots.get(trial)) else { return };
         if shot.over {
             return;
         }
         let Some(conn) = shot.link else {
             self.scatter.take_back((part, trial));
-            return self.report(part, trial, Outcome::Unsent);
+            return self.report(part, trial, AttemptOutcome::NotSent);
         };
         // Something was due if another shot was answered first, or in the time that a connection may take.
         let held = &self.gather.parts[part];
         let due = held.value.is_some() || self.now - shot.at >= self.scatter.connect;
         let (id, due, most) = (held.id.clone(), due.then_some(shot.at), self.scatter.most_parts);
         match self.link(conn).leave((part, trial), &id, most, due) {
-            Left::Unsent => self.report(part, trial, Outcome::Unsent),
+            Left::Unsent => self.report(part, trial, AttemptOutcome::NotSent),
             Left::HalfWritten => self.effects.push(Effect::Break(conn)),
             Left::Written => {
                 self.write_link(conn);
@@ -167,29 +171,29 @@
     }
 
     /// The module hears of this with the next settle.
-    pub fn report(&mut self, part: usize, trial: usize, outcome: Outcome) {
+    pub fn report(&mut self, part: usize, trial: usize, outcome: AttemptOutcome) {
         if let Some((node, lag)) = self.shot_over(part, trial, outcome) {
             self.news.push((part, trial, node, outcome, lag));
         }
     }
 
     /// Notes that a shot is over; its node and how long it was out, unless that was known.
-    fn shot_over(&mut self, part: usize, trial: usize, outcome: Outcome) -> Option<(Node, Micros)> {
+    fn shot_over(&mut self, part: usize, trial: usize, outcome: AttemptOutcome) -> Option<(Node, Micros)> {
         let shot = self.gather.parts.get_mut(part)?.shots.get_mut(trial)?;
         if std::mem::replace(&mut shot.over, true) {
             return None;
         }
         self.timers.remove(&(shot.until, Alarm::Shot(part, trial)));
         let count = match outcome {
-            Outcome::Ok => &mut self.counters.shots_ok,
-            Outcome::Error => &mut self.counters.shots_error,
-            Outcome::Full => &mut self.counters.shots_turned_away,
-            Outcome::Overdue => &mut self.counters.shots_overdue,
-            Outcome::Unreachable => &mut self.counters.shots_unreachable,
-            Outcome::Broken => &mut self.counters.shots_broken,
-            Outcome::Withdrawn => &mut self.counters.shots_withdrawn,
-            Outcome::Unsent => &mut self.counters.shots_unsent,
-            Outcome::Spoilt => &mut self.counters.shots_spoilt,
+            AttemptOutcome::Succeeded => &mut self.counters.shots_ok,
+            AttemptOutcome::ServerError => &mut self.counters.shots_error,
+            AttemptOutcome::Rejected => &mut self.counters.shots_turned_away,
+            AttemptOutcome::TimedOut => &mut self.counters.shots_overdue,
+            AttemptOutcome::ConnectFailed => &mut self.counters.shots_unreachable,
+            AttemptOutcome::ConnectionLost => &mut self.counters.shots_broken,
+            AttemptOutcome::Cancelled => &mut self.counters.shots_withdrawn,
+            AttemptOutcome::NotSent => &mut self.counters.shots_unsent,
+            AttemptOutcome::MalformedResponse => &mut self.counters.shots_spoilt,
         };
         *count += 1;
         Some((shot.node, self.now - shot.at))
@@ -197,9 +201,18 @@
 }
 
 impl Router {
-    pub fn shot_ended(&mut self, part: usize, trial: usize, outcome: Outcome, load: &[(&str, f64)]) {
+    pub fn shot_ended(&mut self, part: usize, trial: usize, outcome: AttemptOutcome, load: &[LoadMetric]) {
         if let Some((node, lag)) = self.desk.shot_over(part, trial, outcome) {
-            self.balance.outcome(self.desk.now, part, trial, node, outcome, lag, load);
+            self.balance.attempt_ended(
+                self.desk.now,
+                &AttemptEnd {
+                    attempt: AttemptId::new(ShardRequestId(part), AttemptNumber(trial)),
+                    node: NodeId(node),
+                    outcome,
+                    latency: lag,
+                    load,
+                },
+            );
             self.desk.unsettled = true;
         }
     }
--- a/crates/settings-schema/src/names.rs
+++ b/crates/settings-schema/src/names.rs
@@ -4,7 +4,7 @@
 #[cfg(test)]
 mod tests;
 
-use balancer::{Micros, Phase, Settings, Value};
+use balancer::{EndpointState, LoadMetric, Micros, Settings, Value};
 use serde_json::Value as Json;
 
 const SETTINGS: &[(&str, &str)] = &[
@@ -158,17 +158,17 @@
     Ok(to)
 }
 
-pub fn phase(code: &str) -> Option<Phase> {
+pub fn phase(code: &str) -> Option<EndpointState> {
     Some(match code {
-        "ready" => Phase::Ready,
-        "draining" => Phase::Draining,
-        "gone" => Phase::Gone,
+        "ready" => EndpointState::Ready,
+        "draining" => EndpointState::Draining,
+        "gone" => EndpointState::Removed,
         _ => return None,
     })
 }
 
 /// An entry of a list of data nodes: its id, address, zone, cell, phase, size and last start.
-pub fn member(entry: &Json) -> Option<(&str, &str, &str, usize, Phase, f64, Micros)> {
+pub fn member(entry: &Json) -> Option<(&str, &str, &str, usize, EndpointState, f64, Micros)> {
     let text = |name: &str| entry[name].as_str().unwrap_or("");
     let id = Some(text("id")).filter(|id| !id.is_empty())?;
     let (cell, phase) = (entry["cell"].as_u64()? as usize, phase(text("phase"))?);
@@ -178,13 +178,13 @@
 }
 
 /// A load report's pairs under our names; `mark` stands between name and figure.
-pub fn load(text: &str, mark: char) -> Option<Vec<(&str, f64)>> {
+pub fn load(text: &str, mark: char) -> Option<Vec<LoadMetric<'_>>> {
     text.split(',')
         .filter(|pair| !pair.is_empty())
         .map(|pair| {
             let (name, value) = pair.split_once(mark)?;
             let value = value.parse().ok().filter(|v: &f64| v.is_finite())?;
-            Some((ours(name), value))
+            Some(LoadMetric { name: ours(name), value })
         })
         .collect()
 }
--- a/crates/settings-schema/src/names/tests.rs
+++ b/crates/settings-schema/src/names/tests.rs
@@ -19,9 +19,13 @@
     assert!(SETTINGS.is_sorted_by(|a, b| a.0 < b.0));
 }
 
+fn metric(name: &str, value: f64) -> LoadMetric<'_> {
+    LoadMetric { name, value }
+}
+
 #[test]
 fn load_reports_are_pairs_of_finite_numbers() {
-    assert_eq!(load("active:7,new:0.5", ':'), Some(vec![("in_flight", 7.0), ("new", 0.5)]));
-    assert_eq!(load("inflight=7,util=0.61", '='), Some(vec![("in_flight", 7.0), ("busy", 0.61)]));
+    assert_eq!(load("active:7,new:0.5", ':'), Some(vec![metric("in_flight", 7.0), metric("new", 0.5)]));
+    assert_eq!(load("inflight=7,util=0.61", '='), Some(vec![metric("in_flight", 7.0), metric("busy", 0.61)]));
     assert!(["active", "active:x", "cpu:inf"].iter().all(|text| load(text, ':').is_none()));
 }
--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,27 +1,27 @@
 //! The simulator wire's codes, and ours.
 
-use balancer::{Listing, Outcome};
+use balancer::{AttemptOutcome, EndpointUpdate};
 
-pub fn outcome(code: &str) -> Option<Outcome> {
+pub fn outcome(code: &str) -> Option<AttemptOutcome> {
     Some(match code {
-        "Ok" => Outcome::Ok,
-        "Failed" => Outcome::Error,
-        "QueueFull" => Outcome::Full,
-        "TimedOut" => Outcome::Overdue,
-        "ConnectError" => Outcome::Unreachable,
-        "ResetByPeer" => Outcome::Broken,
-        "Canceled" => Outcome::Withdrawn,
-        "Ignored" => Outcome::Unsent,
+        "Ok" => AttemptOutcome::Succeeded,
+        "Failed" => AttemptOutcome::ServerError,
+        "QueueFull" => AttemptOutcome::Rejected,
+        "TimedOut" => AttemptOutcome::TimedOut,
+        "ConnectError" => AttemptOutcome::ConnectFailed,
+        "ResetByPeer" => AttemptOutcome::ConnectionLost,
+        "Canceled" => AttemptOutcome::Cancelled,
+        "Ignored" => AttemptOutcome::NotSent,
         _ => return None,
     })
 }
 
-pub fn listing(code: &str) -> Option<Listing> {
+pub fn listing(code: &str) -> Option<EndpointUpdate> {
     Some(match code {
-        "diff" => Listing::Changes,
-        "snapshot" => Listing::Whole,
-        "disk" => Listing::Disk,
-        "error" => Listing::Failed,
+        "diff" => EndpointUpdate::Incremental,
+        "snapshot" => EndpointUpdate::Full,
+        "disk" => EndpointUpdate::Cached,
+        "error" => EndpointUpdate::Failed,
         _ => return None,
     })
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -2,7 +2,11 @@
 
 use crate::codes;
 use crate::line::Line;
-use balancer::{Actions, Balance, End, Events, Listing, Micros, Node, Phase};
+use balancer::{
+    Actions, AttemptEnd, AttemptId, AttemptNumber, Balancer, Completion, Endpoint, EndpointState,
+    EndpointUpdate, Events, HealthCheckEnd, LoadMetric, Micros, NodeId, QueryArrival, QueryId,
+    ShardRequestArrival, ShardRequestId,
+};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
 use settings_schema::ids::Ids;
@@ -11,11 +15,11 @@
 use std::io::Write;
 
 /// One line of a numbered list: node, zone, cell, phase, scale and start.
-pub type Row = (String, usize, usize, Phase, f64, Micros);
+pub type Row = (String, usize, usize, EndpointState, f64, Micros);
 
 pub struct Instance {
     name: String,
-    router: Balance,
+    router: Balancer,
     ops: Ids<u64>,
     nodes: Ids<String>,
     /// The retrieval of each query number, and by retrieval its number and parts.
@@ -29,7 +33,7 @@
     ops: &'a Ids<u64>,
     nodes: &'a Ids<String>,
     over: Vec<usize>,
-    left: Vec<Node>,
+    left: Vec<usize>,
     out: &'a mut Vec<u8>,
 }
 
@@ -44,54 +48,58 @@
         }
     }
 
-    fn on_node(&mut self, message: &str, node: Node) {
-        if let Some(id) = self.nodes.key(node) {
+    fn on_node(&mut self, message: &str, node: NodeId) {
+        if let Some(id) = self.nodes.key(node.0) {
             self.line(message, format_args!("\tnode={id}"));
         }
     }
 }
 
 impl Actions for Reply<'_> {
-    fn send(&mut self, part: usize, node: Node, allow: Micros) {
-        if let Some(id) = self.nodes.key(node) {
-            self.on_op("FORWARD", part, format_args!("\tnode={id}\tallowForNs={}", allow * 1000));
+    fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>) {
+        if let Some(id) = self.nodes.key(node.0) {
+            let allow = timeout.unwrap_or(0) * 1000;
+            self.on_op("FORWARD", shard_request.0, format_args!("\tnode={id}\tallowForNs={allow}"));
         }
     }
-    fn withdraw(&mut self, part: usize, trial: usize) {
-        self.on_op("RETRACT", part, format_args!("\ttrial={trial}"));
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        let number = attempt.number.0;
+        self.on_op("RETRACT", attempt.shard_request.0, format_args!("\ttrial={number}"));
     }
-    fn finish(&mut self, retrieval: usize, end: End) {
-        match end {
-            End::Whole => self.on_op("GATHER_UP", retrieval, format_args!("\ton=1")),
-            End::Part => self.on_op("GATHER_UP", retrieval, format_args!("\ton=0")),
-            End::Deferred(wait) => {
-                self.on_op("SAY_NO", retrieval, format_args!("\tstayAwayNs={}", wait * 1000))
+    fn complete_query(&mut self, query: QueryId, completion: Completion) {
+        let retrieval = query.0;
+        match completion {
+            Completion::Complete => self.on_op("GATHER_UP", retrieval, format_args!("\ton=1")),
+            Completion::Partial => self.on_op("GATHER_UP", retrieval, format_args!("\ton=0")),
+            Completion::Rejected { retry_after } => {
+                let wait = retry_after.unwrap_or(0) * 1000;
+                self.on_op("SAY_NO", retrieval, format_args!("\tstayAwayNs={wait}"))
             }
-            End::GivenUp => self.on_op("REPORT_FAILURE", retrieval, format_args!("")),
+            Completion::Failed => self.on_op("REPORT_FAILURE", retrieval, format_args!("")),
         }
     }
-    fn forget(&mut self, retrieval: usize) {
-        self.over.push(retrieval);
+    fn release_query(&mut self, query: QueryId) {
+        self.over.push(query.0);
     }
-    fn release(&mut self, node: Node) {
-        self.left.push(node);
+    fn release_node(&mut self, node: NodeId) {
+        self.left.push(node.0);
     }
     fn set_timer(&mut self, wait: Micros, token: u64) {
         self.line("NOTIFY_ME", format_args!("\twaitNs={}\tcookie={token}", wait * 1000));
     }
-    fn probe(&mut self, node: Node) {
+    fn check_health(&mut self, node: NodeId) {
         self.on_node("SAMPLE", node);
     }
-    fn let_go(&mut self, node: Node) {
+    fn close_idle_connections(&mut self, node: NodeId) {
         self.on_node("LET_GO", node);
     }
-    fn subscribe(&mut self, on: bool) {
-        self.line("KEEP_INFORMED", format_args!("\ton={}", on as u8));
+    fn watch_endpoints(&mut self, enabled: bool) {
+        self.line("KEEP_INFORMED", format_args!("\ton={}", enabled as u8));
     }
-    fn reload(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.line("RELOAD", format_args!(""));
     }
-    fn tell(&mut self, peer: Option<usize>, data: &[u8]) {
+    fn send_gossip(&mut self, peer: Option<usize>, data: &[u8]) {
         let to = peer.map_or("all".to_string(), |p| p.to_string());
         let data = if data.is_empty() { "-".to_string() } else { BASE64.encode(data) };
         self.line("MEMO_TO", format_args!("\tdest={to}\tdata={data}"));
@@ -122,7 +130,7 @@
             json.and_then(|json| names::settings(&json)).map_err(|e| line.wrong("bootInfo", &e))?;
         Ok(Instance {
             name: name.to_string(),
-            router: Balance::new(seed, settings),
+            router: Balancer::new(seed, settings),
             ops: Ids::default(),
             nodes: Ids::default(),
             queries: HashMap::new(),
@@ -138,17 +146,27 @@
         }
     }
 
-    pub fn members(&mut self, now: Micros, how: Listing, rows: &[Row], out: &mut Vec<u8>) {
-        self.router.list_begins(now, how);
+    pub fn members(&mut self, now: Micros, how: EndpointUpdate, rows: &[Row], out: &mut Vec<u8>) {
+        self.router.endpoint_update_started(now, how);
         for (node, zone, cell, phase, scale, up_since) in rows {
             let node = self.nodes.take(node.clone());
-            self.router.listed(now, node, *zone, *cell, *phase, *scale, *up_since);
+            self.router.endpoint_listed(
+                now,
+                &Endpoint {
+                    node: NodeId(node),
+                    zone: *zone,
+                    replica_set: *cell,
+                    state: *phase,
+                    scale: *scale,
+                    started_at: *up_since,
+                },
+            );
         }
-        with_reply!(self, out, list_ends(now));
+        with_reply!(self, out, endpoint_update_finished(now));
     }
 
     pub fn settle(&mut self, now: Micros, out: &mut Vec<u8>) {
-        with_reply!(self, out, settle(now));
+        with_reply!(self, out, decide(now));
     }
 
     /// Every event that names an instance and needs no list.
@@ -162,27 +180,44 @@
                 let (op, node): (u64, &str) = (line.need("opId")?, line.text("node")?);
                 line.flag("complete")?;
                 if let (Some(part), Some(node)) = (self.ops.find(&op), self.nodes.find(node)) {
-                    self.router.outcome(now, part, trial, node, outcome, lag, &load);
+                    self.router.attempt_ended(
+                        now,
+                        &AttemptEnd {
+                            attempt: AttemptId::new(ShardRequestId(part), AttemptNumber(trial)),
+                            node: NodeId(node),
+                            outcome,
+                            latency: lag,
+                            load: &load,
+                        },
+                    );
                 }
             }
             "STARTED" => {
                 let (trial, lag, node) = (line.need("trial")?, line.micros("lagNs")?, line.text("node")?);
                 let op: u64 = line.need("opId")?;
                 if let (Some(part), Some(node)) = (self.ops.find(&op), self.nodes.find(node)) {
-                    self.router.started(now, part, trial, node, lag);
+                    self.router.response_started(
+                        now,
+                        AttemptId::new(ShardRequestId(part), AttemptNumber(trial)),
+                        NodeId(node),
+                        lag,
+                    );
                 }
             }
             "CANCELLED_BY_CLIENT" => {
                 if let Some(op) = self.ops.find(&line.need("opId")?) {
-                    self.router.client_left(now, op);
+                    self.router.client_disconnected(now, QueryId(op));
                 }
             }
-            "TICK_DUE" => self.router.timer(now, line.need("cookie")?),
+            "TICK_DUE" => self.router.timer_expired(now, line.need("cookie")?),
             "STATUS_BACK" => {
                 let outcome = line.code("disposition", codes::outcome)?;
                 let (lag, load) = (line.micros("lagNs")?, self.gauge(line)?);
                 if let Some(node) = self.nodes.find(line.text("node")?) {
-                    self.router.probed(now, node, outcome, lag, &load);
+                    self.router.health_check_ended(
+                        now,
+                        &HealthCheckEnd { node: NodeId(node), outcome, latency: lag, load: &load },
+                    );
                 }
             }
             "DATAGRAM" => {
@@ -190,14 +225,14 @@
                     "-" => Vec::new(),
                     text => BASE64.decode(text).map_err(|_| line.wrong("data", "it is not base64"))?,
                 };
-                self.router.told(now, line.need("by")?, &data);
+                self.router.gossip_received(now, line.need("by")?, &data);
             }
             _ => return Err(format!("line {}: {}: unknown message", line.number, line.message)),
         }
         Ok(())
     }
 
-    fn gauge<'a>(&self, line: &Line<'a>) -> Result<Vec<(&'a str, f64)>, String> {
+    fn gauge<'a>(&self, line: &Line<'a>) -> Result<Vec<LoadMetric<'a>>, String> {
         let text = line.maybe("gauge").unwrap_or("");
         names::load(text, ':')
             .ok_or_else(|| line.wrong("gauge", &format!("'{text}' is not pairs of name:number")))
@@ -215,7 +250,16 @@
             let Some(&retrieval) = self.queries.get(&query) else { return Ok(()) };
             let part = self.ops.take(id);
             self.members[retrieval].1.push(part);
-            self.router.part(now, retrieval, part, shard, weight, work);
+            self.router.shard_request_arrived(
+                now,
+                &ShardRequestArrival {
+                    shard_request: ShardRequestId(part),
+                    query: QueryId(retrieval),
+                    shard,
+                    weight,
+                    work,
+                },
+            );
         } else {
             let retrieval = self.ops.take(id);
             if self.members.len() <= retrieval {
@@ -223,15 +267,17 @@
             }
             self.members[retrieval] = (query, Vec::new());
             self.queries.insert(query, retrieval);
-            self.router.retrieval(
+            self.router.query_arrived(
                 now,
-                retrieval,
-                class,
-                tenant,
-                until,
-                work,
-                weight.max(0.0) as usize,
-                again,
+                &QueryArrival {
+                    query: QueryId(retrieval),
+                    class,
+                    tenant,
+                    deadline: until,
+                    work,
+                    shard_requests: weight.max(0.0) as usize,
+                    is_retry: again,
+                },
             );
         }
         Ok(())
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,7 +5,7 @@
 mod instance;
 mod line;
 
-use balancer::Listing;
+use balancer::EndpointUpdate;
 use instance::{Instance, Row};
 use line::Line;
 use settings_schema::names;
@@ -94,7 +94,7 @@
                 let how = line.code("how", codes::listing)?;
                 line.or::<i64>("revision", 0)?;
                 let rows = match how {
-                    Listing::Failed => &[],
+                    EndpointUpdate::Failed => &[],
                     _ => {
                         let list: usize = line.need("list")?;
                         let known = self.lists.get(&list);
