--- a/crates/cli/tests/loopback.rs
+++ b/crates/cli/tests/loopback.rs
@@ -89,7 +89,12 @@
         assert_eq!(answer(&mut client).0, "HTTP/1.1 200 OK\r\n");
     }
     let counters = stop(router, client, log);
-    for line in ["finished_whole 2\n", "lists_bad 0\n", "discovery_failures 0\n", "broken_invariants 0\n"] {
+    for line in [
+        "queries_complete 2\n",
+        "endpoint_lists_invalid 0\n",
+        "discovery_failures 0\n",
+        "invariants_violated 0\n",
+    ] {
         assert!(counters.contains(line), "{line}{counters}");
     }
 }
@@ -127,7 +132,7 @@
 
     let counters = stop(router, client, log);
     assert!(
-        counters.contains("finished_whole 2\n") && counters.contains("broken_invariants 0\n"),
+        counters.contains("queries_complete 2\n") && counters.contains("invariants_violated 0\n"),
         "{counters}"
     );
 }
--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -20,7 +20,7 @@
 fn before(name: &str, at: SocketAddr, deadline: Duration) -> (Router, Discovery) {
     let discovery = one(at);
     let router = Router::start(name, &config(discovery.at, deadline));
-    router.until("lists_whole", 2);
+    router.until("endpoint_lists_full", 2);
     (router, discovery)
 }
 
@@ -30,13 +30,13 @@
     let (router, _discovery) = before("left", node.at, LONG);
     let mut client = router.connect();
     client.ask("look", "t1", LONG);
-    router.until("links_opened", 1);
+    router.until("node_connections_opened", 1);
     drop(client);
-    router.until("retrievals_left_by_client", 1);
+    router.until("queries_abandoned_by_client", 1);
     let mut end = node.open();
     let log = router.end();
     assert_eq!(end.rest(), b"");
-    assert!(log.contains("shots_unsent 1\n") && log.contains("shots_sent 0\n"), "{log}");
+    assert!(log.contains("attempts_not_sent 1\n") && log.contains("attempts_sent 0\n"), "{log}");
 }
 
 #[test]
@@ -45,12 +45,12 @@
     let (router, _discovery) = before("turn", node.at, LONG);
     let mut client = router.connect();
     client.ask("look", "t1", LONG);
-    router.until("links_opened", 1);
+    router.until("node_connections_opened", 1);
     router.hold();
     let mut end = node.open();
     drop(client);
     router.release();
-    router.until("retrievals_left_by_client", 1);
+    router.until("queries_abandoned_by_client", 1);
     router.end();
     assert_eq!(end.rest(), b"");
 }
@@ -61,14 +61,14 @@
     let (router, discovery) = before("drain", node.at, LONG);
     let mut client = router.connect();
     client.ask("look", "t1", LONG);
-    router.until("links_opened", 1);
+    router.until("node_connections_opened", 1);
     router.hold();
     let mut end = node.open();
     let told = discovery.told();
     discovery.tell(vec![member("a", &node.at.to_string(), "z", 0, "draining", 0)]);
     discovery.wait_told(told + 1);
     router.release();
-    router.until("lists_changes", 1);
+    router.until("endpoint_lists_incremental", 1);
     drop(client);
     router.end();
     assert_eq!(end.rest(), b"");
@@ -82,7 +82,7 @@
     let mut client = router.connect();
     let since = Instant::now();
     client.ask("pay", "t1", deadline);
-    router.until("links_opened", 1);
+    router.until("node_connections_opened", 1);
     router.hold();
     let mut end = node.open();
     std::thread::sleep((deadline + Duration::from_millis(1)).saturating_sub(since.elapsed()));
@@ -99,10 +99,10 @@
     let (router, _discovery) = before("much", node.at, LONG);
     let mut client = router.connect();
     client.ask("look", "t1", LONG);
-    router.until("links_opened", 1);
+    router.until("node_connections_opened", 1);
     client.press(&vec![b'x'; 8 << 20]);
     drop(client);
-    router.until("retrievals_left_by_client", 1);
+    router.until("queries_abandoned_by_client", 1);
     let mut end = node.open();
     router.end();
     assert_eq!(end.rest(), b"");
@@ -158,7 +158,7 @@
     let request = query("pay", "t1", LONG);
     client.send(&request[..40]);
     slow.send(&request[..40]);
-    router.until("clients_arrived", 2);
+    router.until("client_connections_arrived", 2);
     router.signal(Signal::TERM);
     let mut probe = router.connect();
     probe.send("GET /-/ready HTTP/1.1\r\n\r\n");
@@ -190,7 +190,7 @@
     assert!(client.rest().is_empty());
     drop(client);
     let log = router.ended();
-    assert!(log.contains("retrievals_taken 0\n") && node.is_untouched(), "{log}");
+    assert!(log.contains("queries_accepted 0\n") && node.is_untouched(), "{log}");
 }
 
 /// A discovery served by the test: the next call's request line, and the connection to answer it on.
@@ -227,7 +227,7 @@
             list(11, false, &[]),
         ],
     );
-    router.until("lists_changes", 2);
+    router.until("endpoint_lists_incremental", 2);
     let mut client = router.connect();
     client.ask("look", "t1", LONG);
     let mut end = far.accept();
@@ -235,7 +235,7 @@
     end.send(&frame(b'Y', "t1.0 OK 5 -\none"));
     assert_eq!(client.answer().0, "HTTP/1.1 200 OK");
     assert!(near.is_untouched());
-    assert_eq!(router.counter("lists_stale"), 1);
+    assert_eq!(router.counter("endpoint_lists_stale"), 1);
     drop(client);
     router.end();
 }
@@ -250,7 +250,7 @@
     // Nothing more is said, and the connection stays.
     let (request, _again) = call(&listener);
     assert!(request.contains("watch=1&after=8"), "{request}");
-    assert_eq!((router.counter("watches_silent"), router.counter("discovery_failures")), (1, 0));
+    assert_eq!((router.counter("endpoint_watches_silent"), router.counter("discovery_failures")), (1, 0));
     router.end();
     drop(watch);
 }
@@ -313,11 +313,11 @@
     let mut config = config(discovery.at, LONG);
     config["limits"]["memory_mb"] = 4.into();
     let router = Router::start("sum", &config);
-    router.until("lists_whole", 2);
+    router.until("endpoint_lists_full", 2);
     // Each within its own bound; 18 of them make over a quarter of the memory.
     let begin = format!("POST /api HTTP/1.1\r\nContent-Length: 61000\r\n\r\n{}", "x".repeat(60_000));
     let mut clients: Vec<_> = (0..18).map(|_| router.connect()).collect();
-    router.until("clients_arrived", 18);
+    router.until("client_connections_arrived", 18);
     clients.iter_mut().for_each(|client| client.send(&begin));
     router.until("requests_over_memory", 1);
     let refused = loop {
@@ -379,7 +379,7 @@
     let (mut end, _filler) = node.open_one();
     assert!(end.frame().1.starts_with("t1.0 "));
     other.ask("pay", "t2", LONG);
-    router.until("links_opened", 2);
+    router.until("node_connections_opened", 2);
     end.send(&frame(b'Y', "t1.0 OK 5 -\none"));
     assert_eq!(client.answer().0, "HTTP/1.1 200 OK");
     assert!(end.frame().1.starts_with("t2.0 "));
@@ -387,7 +387,7 @@
     assert_eq!(other.answer().0, "HTTP/1.1 200 OK");
     drop((client, other));
     let log = router.end();
-    assert!(log.contains("shots_unsent 0\n") && log.contains("calls_handed_over 1\n"), "{log}");
+    assert!(log.contains("attempts_not_sent 0\n") && log.contains("batches_reassigned 1\n"), "{log}");
 }
 
 /// A router with room for discovery's watch and one client.
@@ -411,7 +411,7 @@
     }
     drop(client);
     let log = router.end();
-    assert!(node.is_untouched() && log.contains("shots_unsent 2\n"), "{log}");
+    assert!(node.is_untouched() && log.contains("attempts_not_sent 2\n"), "{log}");
 }
 
 #[test]
@@ -420,12 +420,12 @@
     let (mut router, _discovery) = with_two_sockets("left-socket", &node);
     let mut client = router.connect();
     client.ask("look", "t1", LONG);
-    router.until_reported("shots_asked", 1);
+    router.until_reported("attempts_requested", 1);
     drop(client);
     let mut client = router.connect();
     client.ask("look", "t2", Duration::from_millis(300));
     assert_eq!(client.answer().0, "HTTP/1.1 503 Service Unavailable");
     drop(client);
     let log = router.end();
-    assert!(node.is_untouched() && log.contains("retrievals_left_by_client 1\n"), "{log}");
+    assert!(node.is_untouched() && log.contains("queries_abandoned_by_client 1\n"), "{log}");
 }
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -96,7 +96,7 @@
             assert!(since.elapsed() < AT_MOST, "{name} never came to {least}");
             self.signal(Signal::USR1);
             let mut line = String::new();
-            while !line.starts_with("broken_invariants ") {
+            while !line.starts_with("invariants_violated ") {
                 line.clear();
                 assert!(self.log.read_line(&mut line).expect("a line") > 0, "it ended");
                 if let Some(value) = line.strip_prefix(name).and_then(|rest| rest.strip_prefix(' ')) {
@@ -130,7 +130,7 @@
         assert!(self.child.wait().expect("it ends").success());
         let mut log = String::new();
         self.log.read_to_string(&mut log).expect("a log");
-        assert!(log.contains("broken_invariants 0\n"), "{log}");
+        assert!(log.contains("invariants_violated 0\n"), "{log}");
         log
     }
 
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -8,7 +8,7 @@
 use query_router::config::{Config, numbered};
 use serde_json::Value as Json;
 use settings_schema::ids::Ids;
-use settings_schema::names;
+use settings_schema::names::EndpointEntry;
 use std::net::SocketAddr;
 
 /// The index of a data node.
@@ -86,28 +86,28 @@
         self.balance.endpoint_update_started(now, listing);
         for entry in list["members"].as_array().map_or(&[][..], Vec::as_slice) {
             let held = self.ids.count();
-            let usable =
-                names::member(entry).filter(|(id, ..)| held < MOST_NODES || self.ids.find(*id).is_some());
-            let Some((id, at, zone, cell, phase, size, up_since)) = usable else {
+            let usable = EndpointEntry::parse(entry)
+                .filter(|entry| held < MOST_NODES || self.ids.find(entry.id).is_some());
+            let Some(entry) = usable else {
                 self.unusable += 1;
                 continue;
             };
-            let node = self.ids.take(id.to_string());
-            let zone = self.zones.iter().position(|known| known == zone).unwrap_or(self.zones.len());
+            let node = self.ids.take(entry.id.to_string());
+            let zone = self.zones.iter().position(|known| known == entry.zone).unwrap_or(self.zones.len());
             if self.places.len() <= node {
                 self.places.resize(node + 1, Place::default());
             }
-            self.places[node] = Place { at: at.parse().ok(), zone, cell };
+            self.places[node] = Place { at: entry.address.parse().ok(), zone, cell: entry.replica_set };
             self.unusable += self.places[node].at.is_none() as u64;
             self.balance.endpoint_listed(
                 now,
                 &Endpoint {
                     node: NodeId(node),
                     zone,
-                    replica_set: cell,
-                    state: phase,
-                    scale: size,
-                    started_at: up_since,
+                    replica_set: entry.replica_set,
+                    state: entry.state,
+                    scale: entry.scale,
+                    started_at: entry.started_at,
                 },
             );
             self.known = true;
--- a/crates/query-router/src/clients.rs
+++ b/crates/query-router/src/clients.rs
@@ -1,9 +1,9 @@
 //! Connections of clients: requests in, answers out, one at a time on each.
 
 use crate::config::{Config, numbered};
-use crate::effects::{Conn, Effect};
-use crate::http::{self, MOST_REQUEST, Request};
-use crate::query::Terms;
+use crate::io::{ConnectionId, Effect};
+use crate::protocol::http::{self, MAX_REQUEST_BYTES, Request};
+use crate::protocol::query_request::QueryVocabulary;
 use crate::reducer::{Desk, Kind, Peer, Router};
 use balancer::{Events, Micros, QueryArrival, QueryId, ShardRequestArrival, ShardRequestId};
 
@@ -56,7 +56,7 @@
     most_untaken: usize,
     /// The most retrievals and parts held at a time.
     most_held: Option<usize>,
-    terms: Terms,
+    terms: QueryVocabulary,
 }
 
 impl Clients {
@@ -73,7 +73,7 @@
                 .number("limits.max_in_flight")
                 .map(|most| most as usize)
                 .filter(|&most| most > 0),
-            terms: Terms {
+            terms: QueryVocabulary {
                 classes,
                 tenants: numbered(settings, "tenant"),
                 shards: config.whole("shards.count"),
@@ -85,9 +85,9 @@
 impl Desk {
     pub fn arrived(&mut self) {
         self.clients.held_back += 1;
-        self.counters.clients_arrived += 1;
+        self.counters.client_connections_arrived += 1;
         self.adopt();
-        self.counters.clients_held_back += (self.clients.held_back > 0) as u64;
+        self.counters.client_connections_delayed += (self.clients.held_back > 0) as u64;
     }
 
     /// Takes on those that arrived, as far as there are sockets.
@@ -103,7 +103,7 @@
         }
     }
 
-    pub fn client(&mut self, conn: Conn) -> &mut Client {
+    pub fn client(&mut self, conn: ConnectionId) -> &mut Client {
         match &mut self.peers[conn].kind {
             Kind::Client(client) => client,
             _ => unreachable!("the connection of a client"),
@@ -111,7 +111,7 @@
     }
 
     /// The clients without a request in hand.
-    fn resting(&self) -> impl Iterator<Item = (Conn, &Client)> {
+    fn resting(&self) -> impl Iterator<Item = (ConnectionId, &Client)> {
         self.peers.iter().filter_map(|(conn, peer)| match &peer.kind {
             Kind::Client(client) if client.hand == Hand::Empty => Some((conn, client)),
             _ => None,
@@ -119,20 +119,20 @@
     }
 
     /// Turns an idle client loose. Guards against a request that has come in and was not read yet.
-    pub fn part_with(&mut self, conn: Conn) {
-        self.counters.clients_turned_loose += 1;
+    pub fn part_with(&mut self, conn: ConnectionId) {
+        self.counters.client_connections_evicted += 1;
         self.client(conn).hand = Hand::Parting;
         self.effects.push(Effect::Part(conn));
     }
 
     /// So many bytes of what came on a connection stand untaken now. Guards against many requests that begin and are
     /// never whole, or stand behind others, each within its own bound and together beyond the memory.
-    fn hold(&mut self, conn: Conn, count: usize) {
+    fn hold(&mut self, conn: ConnectionId, count: usize) {
         let before = std::mem::replace(&mut self.client(conn).untaken, count);
         self.clients.untaken = self.clients.untaken - before + count;
     }
 
-    fn taken(&mut self, conn: Conn, count: usize) {
+    fn taken(&mut self, conn: ConnectionId, count: usize) {
         let left = self.client(conn).untaken.saturating_sub(count);
         self.hold(conn, left);
         self.effects.push(Effect::Taken(conn, count));
@@ -144,7 +144,7 @@
     }
 
     /// Closes between requests so that one which crosses the close meets no reset: its client asks again.
-    fn leave(&mut self, conn: Conn) {
+    fn leave(&mut self, conn: ConnectionId) {
         self.client(conn).hand = Hand::Leaving;
         self.effects.push(Effect::Finish(conn));
         self.wake_at(conn, Some(self.now + LINGER));
@@ -152,18 +152,19 @@
 
     pub fn close_idle_clients(&mut self) {
         self.closing = true;
-        let idle: Vec<Conn> = self.resting().map(|(conn, _)| conn).collect();
+        let idle: Vec<ConnectionId> = self.resting().map(|(conn, _)| conn).collect();
         idle.into_iter().for_each(|conn| self.leave(conn));
     }
 
     /// Answers what has not come in whole by the end of a planned end.
     pub fn refuse_unfinished(&mut self) {
         let begun = |peer: &Peer| matches!(&peer.kind, Kind::Client(client) if client.hand == Hand::Begun);
-        let begun: Vec<Conn> = self.peers.iter().filter(|(_, peer)| begun(peer)).map(|x| x.0).collect();
+        let begun: Vec<ConnectionId> =
+            self.peers.iter().filter(|(_, peer)| begun(peer)).map(|x| x.0).collect();
         begun.into_iter().for_each(|conn| self.say(conn, 503, "ending"));
     }
 
-    pub fn client_alarm(&mut self, conn: Conn) {
+    pub fn client_alarm(&mut self, conn: ConnectionId) {
         let hand = self.client(conn).hand;
         match hand {
             Hand::Begun => {
@@ -180,7 +181,7 @@
         }
     }
 
-    pub fn answer_flushed(&mut self, conn: Conn) {
+    pub fn answer_flushed(&mut self, conn: ConnectionId) {
         let now = self.now;
         let client = self.client(conn);
         if client.hand != Hand::Answer {
@@ -203,14 +204,16 @@
         let beyond = self.resting().count().saturating_sub((self.most_peers / 6).max(1));
         if beyond > 0 {
             let idle = self.resting().filter_map(|(conn, client)| Some((client.idle_since()?, conn)));
-            let mut idle: Vec<(Micros, Conn)> = idle.collect();
+            let mut idle: Vec<(Micros, ConnectionId)> = idle.collect();
             idle.sort_unstable();
             idle.into_iter().take(beyond).for_each(|(_, conn)| self.part_with(conn));
         }
     }
 
     /// Writes an answer; the client has as long to read it as it may wait for one.
-    pub fn reply(&mut self, conn: Conn, status: u16, kind: &str, body: Vec<u8>, advice: Option<Micros>) {
+    pub fn reply(
+        &mut self, conn: ConnectionId, status: u16, kind: &str, body: Vec<u8>, advice: Option<Micros>,
+    ) {
         let (stopping, longest, now) = (self.stopping, self.clients.longest, self.now);
         let client = self.client(conn);
         client.hand = Hand::Answer;
@@ -220,13 +223,13 @@
         self.wake_at(conn, Some(now + longest));
     }
 
-    fn say(&mut self, conn: Conn, status: u16, line: &str) {
+    fn say(&mut self, conn: ConnectionId, status: u16, line: &str) {
         self.reply(conn, status, "text/plain", format!("{line}\n").into_bytes(), None);
     }
 }
 
 impl Router {
-    pub fn client_received(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn client_received(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let (now, longest) = (self.desk.now, self.desk.clients.longest);
         self.desk.hold(conn, bytes.len());
         let crowded = self.desk.clients.untaken > self.desk.clients.most_untaken;
@@ -234,7 +237,9 @@
         match client.hand {
             Hand::Parting => client.hand = Hand::Empty,
             // Guards against one that sends much at once and goes: its end lies behind what is not read.
-            Hand::Retrieval(_) | Hand::Answer if client.last || crowded || bytes.len() >= MOST_REQUEST => {
+            Hand::Retrieval(_) | Hand::Answer
+                if client.last || crowded || bytes.len() >= MAX_REQUEST_BYTES =>
+            {
                 client.last = true;
                 return self.desk.taken(conn, bytes.len());
             }
@@ -269,13 +274,13 @@
             Err((status, why)) => {
                 client.last = true;
                 self.desk.taken(conn, bytes.len());
-                self.desk.counters.requests_bad += 1;
+                self.desk.counters.requests_invalid += 1;
                 self.desk.say(conn, status, why);
             }
         }
     }
 
-    fn request(&mut self, conn: Conn, request: &Request) {
+    fn request(&mut self, conn: ConnectionId, request: &Request) {
         let path = request.path.split('?').next().unwrap_or("");
         let due = match path {
             "/api" => "POST",
@@ -296,23 +301,23 @@
         }
     }
 
-    fn query(&mut self, conn: Conn, request: &Request) {
+    fn query(&mut self, conn: ConnectionId, request: &Request) {
         let desk = &mut self.desk;
         let query = match desk.clients.terms.query(request) {
             Ok(query) if !desk.gather.holds(request.id) => query,
             other => {
-                desk.counters.requests_bad += 1;
+                desk.counters.requests_invalid += 1;
                 let why = other.err().unwrap_or("a retrieval with this X-Trace-Id is in hand");
                 return desk.say(conn, 400, why);
             }
         };
         if desk.clients.most_held.is_some_and(|most| desk.gather.open >= most) {
-            desk.counters.retrievals_over_limit += 1;
+            desk.counters.queries_over_limit += 1;
             return desk.say(conn, 503, "too many retrievals are in hand");
         }
         let (now, until) = (desk.now, desk.now + query.deadline);
         let until = desk.ends_at.map_or(until, |at| at.min(until));
-        desk.counters.retrievals_taken += 1;
+        desk.counters.queries_accepted += 1;
         let retrieval = desk.gather.open(request.id, conn, until, query.text);
         desk.client(conn).hand = Hand::Retrieval(retrieval);
         let work = query.segments.iter().map(|s| s.2).sum();
@@ -345,11 +350,11 @@
         self.desk.unsettled = true;
     }
 
-    pub fn client_ended(&mut self, conn: Conn) {
+    pub fn client_ended(&mut self, conn: ConnectionId) {
         if let Hand::Retrieval(retrieval) = self.desk.client(conn).hand {
             self.desk.gather.leave(retrieval);
             self.desk.take_back(retrieval);
-            self.desk.counters.retrievals_left_by_client += 1;
+            self.desk.counters.queries_abandoned_by_client += 1;
             self.balance.client_disconnected(self.desk.now, QueryId(retrieval));
             self.desk.unsettled = true;
         }
--- a/crates/query-router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -1,15 +1,15 @@
 //! Calls to discovery: the whole list, or a watch that tells of changes for as long as it lasts.
 
 use crate::config::{Config, numbered};
-use crate::effects::{Conn, Effect};
-use crate::http::{self, Chunks, Framing};
-use crate::objects::{MOST_LIST, Next, Objects};
+use crate::io::{ConnectionId, Effect};
+use crate::protocol::http::{self, Chunks, Framing};
+use crate::protocol::json_stream::{JsonStream, JsonStreamItem, MAX_ENDPOINT_LIST_BYTES};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
 use balancer::{Endpoint, EndpointState, EndpointUpdate, Events, Micros, NodeId};
 use serde_json::Value as Json;
 use settings_schema::ids::Ids;
-use settings_schema::names;
+use settings_schema::names::EndpointEntry;
 use std::net::SocketAddr;
 
 /// How often discovery says at least an empty line.
@@ -25,7 +25,7 @@
     /// What is in of the list.
     body: Vec<u8>,
     /// What is in of a watch's objects, and since when one has begun that is not whole.
-    objects: Objects,
+    objects: JsonStream,
     begun: Option<Micros>,
     /// The body has come to its end.
     over: bool,
@@ -38,7 +38,7 @@
 pub struct Discovery {
     at: SocketAddr,
     revision: u64,
-    watch: Option<Conn>,
+    watch: Option<ConnectionId>,
     /// When a watch that failed is begun anew, where the router sees to that itself; how long after, at most, and
     /// how long after the first that fails. Later ones take twice as long and no more: what discovery has to tell
     /// when it is back is told at once.
@@ -95,15 +95,15 @@
     }
 
     /// Asks discovery; a call that finds no socket fails as any other does, with the next settle.
-    pub fn call(&mut self, watch: bool) -> Option<Conn> {
-        self.counters.discovery_calls += 1;
+    pub fn call(&mut self, watch: bool) -> Option<ConnectionId> {
+        self.counters.discovery_requests += 1;
         let call = Call {
             watch,
             framing: None,
-            chunks: Chunks::new(MOST_LIST),
+            chunks: Chunks::new(MAX_ENDPOINT_LIST_BYTES),
             read: 0,
             body: Vec::new(),
-            objects: Objects::default(),
+            objects: JsonStream::default(),
             begun: None,
             over: false,
             answered: false,
@@ -127,9 +127,10 @@
         }
         tracing::info!("discovery moves from {} to {at}", self.discovery.at);
         (self.discovery.at, self.discovery.revision) = (at, 0);
-        let list =
-            |(conn, peer): (Conn, &Peer)| matches!(&peer.kind, Kind::Call(c) if !c.watch).then_some(conn);
-        let lists: Vec<Conn> = self.peers.iter().filter_map(list).collect();
+        let list = |(conn, peer): (ConnectionId, &Peer)| {
+            matches!(&peer.kind, Kind::Call(c) if !c.watch).then_some(conn)
+        };
+        let lists: Vec<ConnectionId> = self.peers.iter().filter_map(list).collect();
         for conn in lists {
             self.close(conn);
             self.call(false);
@@ -137,7 +138,7 @@
         self.watch(true);
     }
 
-    pub fn call_up(&mut self, conn: Conn) {
+    pub fn call_up(&mut self, conn: ConnectionId) {
         let Discovery { at, revision, .. } = self.discovery;
         let query = match &self.peers[conn].kind {
             Kind::Call(call) if call.watch => format!("?watch=1&after={revision}"),
@@ -148,12 +149,12 @@
     }
 
     /// Discovery has closed its side in order.
-    pub fn call_closed(&mut self, conn: Conn) {
+    pub fn call_closed(&mut self, conn: ConnectionId) {
         let call = self.call_mut(conn);
         call.over |= call.framing == Some(Framing::Open);
     }
 
-    fn call_mut(&mut self, conn: Conn) -> &mut Call {
+    fn call_mut(&mut self, conn: ConnectionId) -> &mut Call {
         match &mut self.peers[conn].kind {
             Kind::Call(call) => call,
             _ => unreachable!("a call to discovery"),
@@ -183,7 +184,7 @@
         }
     }
 
-    pub fn call_received(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn call_received(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let now = self.desk.now;
         match self.call_read(conn, bytes) {
             Ok((taken, over)) => {
@@ -204,7 +205,7 @@
     }
 
     /// Reads on; how many bytes were taken and whether the body is over, or why it can't be used.
-    fn call_read(&mut self, conn: Conn, bytes: &[u8]) -> Result<(usize, bool), &'static str> {
+    fn call_read(&mut self, conn: ConnectionId, bytes: &[u8]) -> Result<(usize, bool), &'static str> {
         let call = self.desk.call_mut(conn);
         let (mut at, mut over) = (0, false);
         let framing = match call.framing {
@@ -228,7 +229,9 @@
                 let read = call.chunks.read(&bytes[at..], &mut take).map_err(|bad| bad.1)?;
                 (at, over) = (at + read.0, read.1);
             }
-            Framing::Length(length) if length > MOST_LIST => return Err("the list is too long"),
+            Framing::Length(length) if length > MAX_ENDPOINT_LIST_BYTES => {
+                return Err("the list is too long");
+            }
             Framing::Length(length) => {
                 let data = &bytes[at..bytes.len().min(at + length - call.read)];
                 take(data);
@@ -240,7 +243,7 @@
                 at = bytes.len();
             }
         }
-        if call.body.len() > MOST_LIST {
+        if call.body.len() > MAX_ENDPOINT_LIST_BYTES {
             return Err("the list is too long");
         }
         if watch {
@@ -250,10 +253,10 @@
     }
 
     /// Tells the module each object of a watch that is whole.
-    fn objects(&mut self, conn: Conn) -> Result<(), &'static str> {
+    fn objects(&mut self, conn: ConnectionId) -> Result<(), &'static str> {
         loop {
             let next = self.desk.call_mut(conn).objects.next()?;
-            if next == Next::More {
+            if next == JsonStreamItem::Incomplete {
                 return Ok(());
             }
             let now = self.desk.now;
@@ -264,14 +267,14 @@
                 self.desk.discovery.pause = self.desk.discovery.least;
             }
             match next {
-                Next::Object(object) => {
+                JsonStreamItem::Object(object) => {
                     let json: Json = serde_json::from_slice(&object).map_err(|_| "an object is not JSON")?;
                     let whole = json["complete"].as_bool().ok_or("'complete' is missing")?;
                     let revision = usable(&json, whole)?;
                     // Guards against what was overtaken on its way undoing a drain.
                     let newest = self.desk.call_mut(conn).revision;
                     if revision < newest {
-                        self.desk.counters.lists_stale += 1;
+                        self.desk.counters.endpoint_lists_stale += 1;
                         tracing::warn!("revision {revision} came behind {newest} and is passed over");
                         continue;
                     }
@@ -286,18 +289,18 @@
 
     /// Nothing was said for too long. A watch that was well is begun anew at once, and the module only hears of it
     /// if that fails: what a silent one misses counts as told soon after.
-    pub fn call_silent(&mut self, conn: Conn) {
+    pub fn call_silent(&mut self, conn: ConnectionId) {
         if self.desk.discovery.watch != Some(conn) || !self.desk.call_mut(conn).answered {
             return self.call_failed(conn);
         }
         tracing::info!("the watch fell silent and is begun anew");
-        self.desk.counters.watches_silent += 1;
+        self.desk.counters.endpoint_watches_silent += 1;
         self.desk.watch(true);
     }
 
     /// A call is over, or nothing more is to be expected of it. Guards against what is cut off being taken for
     /// whole: a body without a length ends with its connection's orderly close, and no body by a reset.
-    pub fn call_ended(&mut self, conn: Conn) {
+    pub fn call_ended(&mut self, conn: ConnectionId) {
         let call = self.desk.call_mut(conn);
         if call.watch || !call.over || call.framing.is_none() {
             return self.call_failed(conn);
@@ -312,13 +315,13 @@
         }
     }
 
-    fn call_unusable(&mut self, conn: Conn, why: &str) {
-        self.desk.counters.lists_bad += 1;
+    fn call_unusable(&mut self, conn: ConnectionId, why: &str) {
+        self.desk.counters.endpoint_lists_invalid += 1;
         tracing::warn!("what discovery said could not be used: {why}");
         self.call_failed(conn);
     }
 
-    fn call_failed(&mut self, conn: Conn) {
+    fn call_failed(&mut self, conn: ConnectionId) {
         if self.desk.discovery.watch == Some(conn) {
             self.desk.discovery.watch = None;
         }
@@ -352,35 +355,36 @@
         desk.discovery.lists += 1;
         let number = desk.discovery.lists;
         match listing {
-            EndpointUpdate::Incremental => desk.counters.lists_changes += 1,
-            _ => desk.counters.lists_whole += 1,
+            EndpointUpdate::Incremental => desk.counters.endpoint_lists_incremental += 1,
+            _ => desk.counters.endpoint_lists_full += 1,
         }
         self.balance.endpoint_update_started(now, listing);
         for member in list["members"].as_array().map_or(&[][..], Vec::as_slice) {
-            let Some((id, at, zone, cell, phase, size, up_since)) = names::member(member) else {
+            let Some(entry) = EndpointEntry::parse(member) else {
                 tracing::warn!("a member of the list could not be used: {member}");
                 continue;
             };
             let zones = &desk.discovery.zones;
-            let zone = zones.iter().position(|known| known == zone).unwrap_or(zones.len());
-            let node = desk.discovery.nodes.take(id.to_string());
+            let zone = zones.iter().position(|known| known == entry.zone).unwrap_or(zones.len());
+            let node = desk.discovery.nodes.take(entry.id.to_string());
             let places = &mut desk.scatter.nodes;
             if places.len() <= node {
                 places.resize(node + 1, Place::default());
             }
             let place = &mut places[node];
-            place.at = at.parse().ok();
-            (place.ready, place.up_since, place.list) = (phase == EndpointState::Ready, up_since, number);
+            place.at = entry.address.parse().ok();
+            (place.ready, place.up_since, place.list) =
+                (entry.state == EndpointState::Ready, entry.started_at, number);
             place.released = false;
             self.balance.endpoint_listed(
                 now,
                 &Endpoint {
                     node: NodeId(node),
                     zone,
-                    replica_set: cell,
-                    state: phase,
-                    scale: size,
-                    started_at: up_since,
+                    replica_set: entry.replica_set,
+                    state: entry.state,
+                    scale: entry.scale,
+                    started_at: entry.started_at,
                 },
             );
         }
--- a/crates/query-router/src/gather.rs
+++ b/crates/query-router/src/gather.rs
@@ -1,7 +1,7 @@
 //! What is in hand of each retrieval, and the answers to clients.
 
-use crate::counters::must;
-use crate::effects::{Conn, Node, Piece};
+use crate::counters::debug_invariant;
+use crate::io::{ConnectionId, Node, Piece};
 use crate::reducer::Desk;
 use balancer::{Completion, Micros};
 use serde_json::{Value as Json, json};
@@ -13,7 +13,7 @@
 pub struct Retrieval {
     id: Rc<str>,
     /// Where the answer goes, until it was given or the client left.
-    client: Option<Conn>,
+    client: Option<ConnectionId>,
     pub until: Micros,
     pub text: Piece,
     pub parts: Vec<usize>,
@@ -43,7 +43,7 @@
     /// When the router stops waiting for it.
     pub until: Micros,
     /// The connection that it waits for or went out on.
-    pub link: Option<Conn>,
+    pub link: Option<ConnectionId>,
     pub over: bool,
 }
 
@@ -61,7 +61,7 @@
         self.ids.contains(id)
     }
 
-    pub fn open(&mut self, id: &str, client: Conn, until: Micros, text: String) -> usize {
+    pub fn open(&mut self, id: &str, client: ConnectionId, until: Micros, text: String) -> usize {
         let (id, text): (Rc<str>, Piece) = (id.into(), text.into_bytes().into());
         let client = Some(client);
         self.ids.insert(id.clone());
@@ -79,7 +79,7 @@
     }
 
     /// The retrieval is answered or its client has left; the client, if it was waiting until now.
-    pub fn leave(&mut self, retrieval: usize) -> Option<Conn> {
+    pub fn leave(&mut self, retrieval: usize) -> Option<ConnectionId> {
         let held = self.retrievals.get_mut(retrieval)?;
         let client = held.client.take()?;
         self.open -= 1 + held.parts.len();
@@ -99,18 +99,18 @@
 
 impl Desk {
     /// Writes a retrieval's final answer.
-    pub fn answer(&mut self, conn: Conn, retrieval: usize, end: Completion) {
+    pub fn answer(&mut self, conn: ConnectionId, retrieval: usize, end: Completion) {
         let count = match end {
-            Completion::Complete => &mut self.counters.finished_whole,
-            Completion::Partial => &mut self.counters.finished_part,
-            Completion::Rejected { .. } => &mut self.counters.deferred,
-            Completion::Failed => &mut self.counters.given_up,
+            Completion::Complete => &mut self.counters.queries_complete,
+            Completion::Partial => &mut self.counters.queries_partial,
+            Completion::Rejected { .. } => &mut self.counters.queries_rejected,
+            Completion::Failed => &mut self.counters.queries_failed,
         };
         *count += 1;
         match end {
             Completion::Complete | Completion::Partial => {
                 let (body, values) = self.gather.body(retrieval, end == Completion::Complete);
-                must!(self.counters, values > 0, "an answer has a value");
+                debug_invariant!(self.counters, values > 0, "an answer has a value");
                 self.reply(conn, 200, "application/json", body, None);
             }
             Completion::Rejected { retry_after } => {
--- a/crates/query-router/src/effects.rs
+++ b/crates/query-router/src/io.rs
@@ -7,7 +7,7 @@
 /// The index of a data node.
 pub type Node = usize;
 /// The index of a connection; the reducer hands it out and may use it again once it was closed.
-pub type Conn = usize;
+pub type ConnectionId = usize;
 /// Bytes to be written, shared where several connections get the same.
 pub type Piece = Rc<[u8]>;
 
@@ -16,15 +16,15 @@
     /// A client has connected; `Effect::Adopt` answers it, later if there is no room.
     Arrived,
     /// A connection asked for is up.
-    Up(Conn),
+    Up(ConnectionId),
     /// All bytes that came in on a connection and were not taken yet.
-    Received(Conn, &'a [u8]),
+    Received(ConnectionId, &'a [u8]),
     /// All that was to be written has been.
-    Flushed(Conn),
+    Flushed(ConnectionId),
     /// The other side closed in order; `Ended` follows.
-    Closed(Conn),
+    Closed(ConnectionId),
     /// The other side closed, it broke, or it never came up; so many bytes had been written by then.
-    Ended(Conn, u64),
+    Ended(ConnectionId, u64),
     /// Time has passed.
     Alarm,
     /// The configuration was replaced: discovery stands at this address now.
@@ -38,24 +38,24 @@
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// The client that arrived first is this connection from now on.
-    Adopt(Conn),
-    Connect(Conn, SocketAddr),
+    Adopt(ConnectionId),
+    Connect(ConnectionId, SocketAddr),
     /// So many of the received bytes are done with.
-    Taken(Conn, usize),
+    Taken(ConnectionId, usize),
     /// Tell once more what has been received and not taken.
-    Read(Conn),
-    Write(Conn, Vec<Piece>),
+    Read(ConnectionId),
+    Write(ConnectionId, Vec<Piece>),
     /// The same, but nothing is written if the other side is known to have closed, or to have said something though
     /// nothing was `due` from it: `Event::Ended` follows.
-    Send(Conn, Vec<Piece>, bool),
+    Send(ConnectionId, Vec<Piece>, bool),
     /// Closed here if nothing has come in that is not read yet, and `Event::Ended` says so.
-    Part(Conn),
+    Part(ConnectionId),
     /// No more is written, what comes is still read.
-    Finish(Conn),
+    Finish(ConnectionId),
     /// Closed here and forgotten.
-    Close(Conn),
+    Close(ConnectionId),
     /// Closed here; `Event::Ended` then says how much had been written.
-    Break(Conn),
+    Break(ConnectionId),
     /// Wake the reducer at this time, in place of the time before.
     Timer(Option<Micros>),
     Report(String),
--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -5,13 +5,13 @@
 pub mod config;
 mod counters;
 mod discovery;
-mod effects;
-mod frames;
+mod io;
+
 mod gather;
-mod http;
+
 mod links;
-mod objects;
-mod query;
+mod protocol;
+
 mod reducer;
 mod scatter;
 mod serve;
--- a/crates/query-router/src/links.rs
+++ b/crates/query-router/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to data nodes: what waits for them, what is out on them, and how they end.
 
-use crate::effects::{Conn, Effect, Node, Piece};
-use crate::frames::{self, Read};
+use crate::io::{ConnectionId, Effect, Node, Piece};
+use crate::protocol::frames::{self, Read};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
 use balancer::{AttemptOutcome, Events, HealthCheckEnd, LoadMetric, Micros, NodeId};
@@ -143,7 +143,7 @@
 }
 
 impl Desk {
-    pub fn link(&mut self, conn: Conn) -> &mut Link {
+    pub fn link(&mut self, conn: ConnectionId) -> &mut Link {
         match &mut self.peers[conn].kind {
             Kind::Link(link) => link,
             _ => unreachable!("a connection to a data node"),
@@ -154,7 +154,7 @@
     /// behind an answer, the longest idle first, else a new one, else one with room. Guards against what
     /// befalls a connection befalling all that is out on it: calls share one only where a node's share of
     /// the sockets is used up. Answers bear no number of a trial, so no part goes out twice on one connection.
-    pub fn link_for(&mut self, node: Node, ids: &[Rc<str>]) -> Option<Conn> {
+    pub fn link_for(&mut self, node: Node, ids: &[Rc<str>]) -> Option<ConnectionId> {
         let best = self.best_link(node, ids);
         if let Some((rank, conn)) = best
             && (rank == 0 || ids.is_empty())
@@ -169,7 +169,7 @@
     }
 
     /// The best connection for parts of these ids, and how good it is: 0 if it has rested long enough.
-    fn best_link(&self, node: Node, ids: &[Rc<str>]) -> Option<(u8, Conn)> {
+    fn best_link(&self, node: Node, ids: &[Rc<str>]) -> Option<(u8, ConnectionId)> {
         let (most, idle, now) = (self.scatter.most_parts, self.scatter.idle, self.now);
         let place = &self.scatter.nodes[node];
         let rated = place.links.iter().filter_map(|&conn| {
@@ -196,12 +196,12 @@
 
     /// Calls that wait for a connection to come up go out on one that rests meanwhile. Guards against connections
     /// that come up late holding up what a sound one could carry, until the call counts as never sent.
-    pub fn hand_over(&mut self) -> Vec<Conn> {
-        let waits = |(conn, peer): (Conn, &Peer)| match &peer.kind {
+    pub fn hand_over(&mut self) -> Vec<ConnectionId> {
+        let waits = |(conn, peer): (ConnectionId, &Peer)| match &peer.kind {
             Kind::Link(link) if !link.up && link.queued().next().is_some() => Some((conn, link.node)),
             _ => None,
         };
-        let waiting: Vec<(Conn, Node)> = self.peers.iter().filter_map(waits).collect();
+        let waiting: Vec<(ConnectionId, Node)> = self.peers.iter().filter_map(waits).collect();
         let mut touched = Vec::new();
         for (conn, node) in waiting {
             while let Some(at) = self.link(conn).queue.iter().position(|item| matches!(item, Item::Call(_))) {
@@ -209,7 +209,7 @@
                 let shots = shots.clone();
                 let Some((0, to)) = self.best_link(node, &self.ids(&shots)) else { break };
                 self.link(conn).queue.remove(at);
-                self.counters.calls_handed_over += 1;
+                self.counters.batches_reassigned += 1;
                 self.put_on(to, shots);
                 touched.push(to);
             }
@@ -217,7 +217,7 @@
         touched
     }
 
-    pub fn open_link(&mut self, node: Node) -> Option<Conn> {
+    pub fn open_link(&mut self, node: Node) -> Option<ConnectionId> {
         let to = self.scatter.nodes[node].at?;
         let link = Link {
             node,
@@ -238,14 +238,14 @@
             probes: VecDeque::new(),
         };
         let conn = self.open(Kind::Link(Box::new(link)))?;
-        self.counters.links_opened += 1;
+        self.counters.node_connections_opened += 1;
         self.scatter.nodes[node].links.push(conn);
         self.effects.push(Effect::Connect(conn, to));
         self.set_link_alarm(conn);
         Some(conn)
     }
 
-    pub fn link_up(&mut self, conn: Conn) {
+    pub fn link_up(&mut self, conn: ConnectionId) {
         let now = self.now;
         let link = self.link(conn);
         (link.up, link.opened) = (true, now);
@@ -254,7 +254,7 @@
     }
 
     /// A connection is looked at again when it must be up, end the frame that it began, or has rested.
-    fn set_link_alarm(&mut self, conn: Conn) {
+    fn set_link_alarm(&mut self, conn: ConnectionId) {
         let (connect, idle) = (self.scatter.connect, self.scatter.idle);
         let link = self.link(conn);
         let at = match link.begun {
@@ -266,7 +266,7 @@
     }
 
     /// Hands what waits for a connection to the loop, once all before it is written.
-    pub fn write_link(&mut self, conn: Conn) {
+    pub fn write_link(&mut self, conn: ConnectionId) {
         let (now, probe) = (self.now, self.scatter.probe);
         let Kind::Link(link) = &mut self.peers[conn].kind else { return };
         if !link.up || link.flushed < link.handed || link.queue.is_empty() {
@@ -299,8 +299,8 @@
                         let line = frames::part_line(&held.id, held.shard, wait, text.len());
                         pieces.extend([line.into_bytes().into(), text.clone()]);
                     }
-                    self.counters.calls_sent += 1;
-                    self.counters.shots_sent += shots.len() as u64;
+                    self.counters.batches_sent += 1;
+                    self.counters.attempts_sent += shots.len() as u64;
                     b'R'
                 }
                 Item::GiveUp(id) => {
@@ -308,7 +308,7 @@
                     b'A'
                 }
                 Item::Probe => {
-                    self.counters.probes_sent += 1;
+                    self.counters.health_checks_sent += 1;
                     probe
                 }
             };
@@ -327,7 +327,7 @@
         self.set_link_alarm(conn);
     }
 
-    pub fn link_flushed(&mut self, conn: Conn) {
+    pub fn link_flushed(&mut self, conn: ConnectionId) {
         let link = self.link(conn);
         link.flushed = link.handed;
         self.write_link(conn);
@@ -335,7 +335,7 @@
     }
 
     /// A connection with nothing to do is closed before its idle time is over, a worn one at once.
-    pub fn rest(&mut self, conn: Conn) {
+    pub fn rest(&mut self, conn: ConnectionId) {
         let now = self.now;
         let link = self.link(conn);
         if link.idle_since().is_some() {
@@ -348,13 +348,13 @@
     }
 
     /// Closes a connection on which nothing is out.
-    pub fn close_link(&mut self, conn: Conn) {
-        self.counters.links_closed_idle += 1;
+    pub fn close_link(&mut self, conn: ConnectionId) {
+        self.counters.node_connections_closed_idle += 1;
         self.drop_link(conn);
     }
 
     /// Forgets a connection, and its node's index with the last one if the module has no use for it any more.
-    fn drop_link(&mut self, conn: Conn) {
+    fn drop_link(&mut self, conn: ConnectionId) {
         let node = self.link(conn).node;
         self.scatter.nodes[node].links.retain(|&c| c != conn);
         self.close(conn);
@@ -405,8 +405,8 @@
     }
 
     /// A data node and this router do not understand each other; said once of each node.
-    fn garbled(&mut self, conn: Conn, why: &str) {
-        self.counters.frames_bad += 1;
+    fn garbled(&mut self, conn: ConnectionId, why: &str) {
+        self.counters.frames_malformed += 1;
         let node = self.link(conn).node;
         let place = &mut self.scatter.nodes[node];
         if !std::mem::replace(&mut place.garbled, true) {
@@ -428,7 +428,7 @@
 }
 
 impl Router {
-    pub fn link_received(&mut self, conn: Conn, bytes: &[u8]) {
+    pub fn link_received(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let mut at = 0;
         loop {
             match frames::read(&bytes[at..]) {
@@ -453,19 +453,19 @@
     /// Closes a connection on which something came that can't be used, or did not come to its end. Guards
     /// against good nodes being taken for fallen ones: answers are spoilt on the way too. It is told of one
     /// shot, the one `named` or else the oldest; the others out here are given up by the close.
-    fn link_spoilt(&mut self, conn: Conn, named: Option<ShotId>) {
+    fn link_spoilt(&mut self, conn: ConnectionId, named: Option<ShotId>) {
         let link = self.desk.link(conn);
         let spoilt = named.or(link.out.first().map(|out| (out.part, out.trial)));
         link.cut = spoilt.map_or(Cut::Ours, Cut::Spoilt);
         match spoilt {
-            None => self.desk.counters.frames_beyond += 1,
+            None => self.desk.counters.frames_unexpected += 1,
             Some(_) => self.desk.garbled(conn, "its frame could not be used"),
         }
         self.desk.effects.push(Effect::Break(conn));
     }
 
     /// Takes one frame; false if it can't be used.
-    fn frame(&mut self, conn: Conn, letter: u8, rest: &[u8]) -> bool {
+    fn frame(&mut self, conn: ConnectionId, letter: u8, rest: &[u8]) -> bool {
         match letter {
             b'Y' => {
                 let Some((id, outcome, report, value)) = frames::answer(rest) else { return false };
@@ -475,7 +475,7 @@
                     link.worn |= left.and_then(|at| link.stale.remove(at)).is_none();
                     // An id that is no one's here, or a second copy of the last answer.
                     let usable = !link.worn || link.answered.as_deref() == Some(id);
-                    self.desk.counters.answers_late += 1;
+                    self.desk.counters.responses_late += 1;
                     return usable;
                 };
                 let Out { id, part, trial, .. } = link.out.remove(at);
@@ -506,7 +506,7 @@
         }
     }
 
-    fn probe_ended(&mut self, conn: Conn, outcome: AttemptOutcome, load: &[LoadMetric]) {
+    fn probe_ended(&mut self, conn: ConnectionId, outcome: AttemptOutcome, load: &[LoadMetric]) {
         let (now, wait) = (self.desk.now, self.desk.scatter.connect);
         let link = self.desk.link(conn);
         let node = link.node;
@@ -520,12 +520,12 @@
     }
 
     /// A probe was not answered in time; so that a late answer is not taken for another's, all goes.
-    pub fn probe_overdue(&mut self, conn: Conn) {
+    pub fn probe_overdue(&mut self, conn: ConnectionId) {
         self.probe_ended(conn, AttemptOutcome::TimedOut, &[]);
         self.desk.effects.push(Effect::Break(conn));
     }
 
-    pub fn link_alarm(&mut self, conn: Conn) {
+    pub fn link_alarm(&mut self, conn: ConnectionId) {
         let link = self.desk.link(conn);
         match link.begun {
             _ if !link.up => self.link_ended(conn, 0),
@@ -536,7 +536,7 @@
     }
 
     /// A connection is gone. What was not written whole never ran; of the rest nothing is known.
-    pub fn link_ended(&mut self, conn: Conn, written: u64) {
+    pub fn link_ended(&mut self, conn: ConnectionId, written: u64) {
         let link = self.desk.link(conn);
         let (up, cut) = (link.up, link.cut);
         let queued: Vec<ShotId> = link.queued().collect();
@@ -544,7 +544,7 @@
         // One that was up and ends before a frame is written says nothing of whether its node can be reached.
         let unsent = if up { AttemptOutcome::NotSent } else { AttemptOutcome::ConnectFailed };
         if !up {
-            self.desk.counters.links_failed += 1;
+            self.desk.counters.node_connections_failed += 1;
         }
         while !self.desk.link(conn).probes.is_empty() {
             self.probe_ended(
--- a/crates/query-router/src/http.rs
+++ b/crates/query-router/src/protocol/http.rs
@@ -6,11 +6,11 @@
 use std::borrow::Cow;
 
 /// The protocol's limit on a body, and ours on a head and on its fields.
-pub const MOST_BODY: usize = 64 * 1024;
-pub const MOST_HEAD: usize = 16 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
+pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// As many bytes as a request may take, its body in small chunks included.
-pub const MOST_REQUEST: usize = MOST_HEAD + 2 * MOST_BODY;
-const MOST_FIELDS: usize = 64;
+pub const MAX_REQUEST_BYTES: usize = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES;
+const MAX_HEADERS: usize = 64;
 
 /// What is wrong with a request: a status and one plain line.
 pub type Bad = (u16, &'static str);
@@ -73,12 +73,14 @@
                 At::Head => match httparse::parse_chunk_size(rest) {
                     Ok(httparse::Status::Complete((head, 0))) => {
                         // Trailers are read and disregarded.
-                        let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+                        let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
                         return match httparse::parse_headers(&rest[head..], &mut fields) {
                             Ok(httparse::Status::Complete((trailers, _))) => {
                                 Ok((taken + head + trailers, true))
                             }
-                            Ok(httparse::Status::Partial) if rest.len() < MOST_HEAD => Ok((taken, false)),
+                            Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD_BYTES => {
+                                Ok((taken, false))
+                            }
                             _ => Err(WRONG),
                         };
                     }
@@ -89,7 +91,9 @@
                         taken += head;
                         self.at = At::Data(size);
                     }
-                    Ok(httparse::Status::Partial) if rest.len() < MOST_HEAD => return Ok((taken, false)),
+                    Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD_BYTES => {
+                        return Ok((taken, false));
+                    }
                     _ => return Err(WRONG),
                 },
                 At::Data(0) => self.at = At::End,
@@ -142,7 +146,7 @@
 
 /// Whether a head is in whose sender waits for a word before it sends the body.
 pub fn waits(bytes: &[u8]) -> bool {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
     let whole = matches!(head.parse(bytes), Ok(httparse::Status::Complete(length)) if length == bytes.len());
     whole
@@ -154,11 +158,11 @@
 
 /// The request at the start of `bytes`, once it is whole.
 pub fn request(bytes: &[u8]) -> Result<Option<Request<'_>>, Bad> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
     let start = match head.parse(bytes) {
-        Ok(httparse::Status::Complete(length)) if length <= MOST_HEAD => length,
-        Ok(httparse::Status::Partial) if bytes.len() <= MOST_HEAD => return Ok(None),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => return Ok(None),
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err((431, "the head is too large")),
         Err(_) => return Err((400, "the head is malformed")),
     };
@@ -186,9 +190,9 @@
     match framing(head.headers, Framing::Length(0))? {
         Framing::Chunks => {
             let mut body = Vec::new();
-            let mut chunks = Chunks::new(MOST_BODY);
+            let mut chunks = Chunks::new(MAX_BODY_BYTES);
             let (taken, over) = chunks.read(&bytes[start..], &mut |data| body.extend_from_slice(data))?;
-            if body.len() > MOST_BODY || !over && bytes.len() >= MOST_REQUEST {
+            if body.len() > MAX_BODY_BYTES || !over && bytes.len() >= MAX_REQUEST_BYTES {
                 return Err((413, "the body is over 64 KiB"));
             }
             if !over {
@@ -197,7 +201,7 @@
             (request.body, request.length) = (Cow::Owned(body), start + taken);
             Ok(Some(request))
         }
-        Framing::Length(length) if length <= MOST_BODY => {
+        Framing::Length(length) if length <= MAX_BODY_BYTES => {
             let Some(body) = bytes.get(start..start + length) else { return Ok(None) };
             (request.body, request.length) = (Cow::Borrowed(body), start + length);
             Ok(Some(request))
@@ -208,13 +212,13 @@
 
 /// The head of an answer at the start of `bytes`, once it is whole: status, length and the body's framing.
 pub fn response(bytes: &[u8]) -> Result<Option<(u16, usize, Framing)>, Bad> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+    let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut fields);
     match head.parse(bytes) {
         Ok(httparse::Status::Complete(length)) => {
             Ok(Some((head.code.unwrap_or(0), length, framing(head.headers, Framing::Open)?)))
         }
-        Ok(httparse::Status::Partial) if bytes.len() <= MOST_HEAD => Ok(None),
+        Ok(httparse::Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => Ok(None),
         _ => Err((400, "the head is malformed")),
     }
 }
--- a/crates/query-router/src/http/tests.rs
+++ b/crates/query-router/src/protocol/http/tests.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn what_is_too_large_or_malformed_gets_its_status() {
-    let large = "x".repeat(MOST_HEAD);
+    let large = "x".repeat(MAX_HEAD_BYTES);
     for (rest, status) in [
         ("Content-Length: -1\r\n\r\n".to_string(), 400),
         ("Content-Length: 5\r\nContent-Length: 6\r\n\r\nhello".to_string(), 400),
@@ -31,11 +31,11 @@
         ("Transfer-Encoding: gzip\r\n\r\n".to_string(), 501),
         ("Transfer-Encoding: chunked\r\n\r\nzz\r\n".to_string(), 400),
         ("Transfer-Encoding: chunked\r\n\r\n2\r\nhello".to_string(), 400),
-        (format!("Content-Length: {}\r\n\r\n", MOST_BODY + 1), 413),
-        (format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n", MOST_BODY + 1), 413),
+        (format!("Content-Length: {}\r\n\r\n", MAX_BODY_BYTES + 1), 413),
+        (format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n", MAX_BODY_BYTES + 1), 413),
         (format!("X-Large: {large}"), 431),
         (format!("X-Large: {large}\r\n\r\n"), 431),
-        ("X-Many: 1\r\n".repeat(MOST_FIELDS + 1) + "\r\n", 431),
+        ("X-Many: 1\r\n".repeat(MAX_HEADERS + 1) + "\r\n", 431),
         ("no field\r\n\r\n".to_string(), 400),
     ] {
         let got = request(format!("{HEAD}{rest}").as_bytes()).map(|_| ()).map_err(|bad| bad.0);
--- a/crates/query-router/src/objects.rs
+++ b/crates/query-router/src/protocol/json_stream.rs
@@ -4,20 +4,20 @@
 mod tests;
 
 /// The longest object or list that is read; some thousands of indented entries.
-pub const MOST_LIST: usize = 2 * 1024 * 1024;
+pub const MAX_ENDPOINT_LIST_BYTES: usize = 2 * 1024 * 1024;
 
 /// What stands at the front of the bytes held.
 #[derive(Debug, PartialEq)]
-pub enum Next {
-    More,
+pub enum JsonStreamItem {
+    Incomplete,
     /// A line ended between objects.
-    Line,
+    BlankLine,
     Object(Vec<u8>),
 }
 
 /// Each byte is looked at once, however small the pieces are that it comes in.
 #[derive(Debug, Default)]
-pub struct Objects {
+pub struct JsonStream {
     held: Vec<u8>,
     seen: usize,
     depth: usize,
@@ -25,7 +25,7 @@
     escaped: bool,
 }
 
-impl Objects {
+impl JsonStream {
     pub fn push(&mut self, bytes: &[u8]) {
         self.held.extend_from_slice(bytes);
     }
@@ -35,12 +35,12 @@
         self.depth > 0
     }
 
-    pub fn next(&mut self) -> Result<Next, &'static str> {
+    pub fn next(&mut self) -> Result<JsonStreamItem, &'static str> {
         while let Some(&byte) = self.held.get(self.seen) {
             self.seen += 1;
             if self.depth == 0 {
                 match byte {
-                    b'\n' => return Ok(Next::Line),
+                    b'\n' => return Ok(JsonStreamItem::BlankLine),
                     b' ' | b'\t' | b'\r' => {}
                     b'{' => {
                         self.held.drain(..self.seen - 1);
@@ -67,16 +67,16 @@
                 if self.depth == 0 {
                     let rest = self.held.split_off(self.seen);
                     self.seen = 0;
-                    return Ok(Next::Object(std::mem::replace(&mut self.held, rest)));
+                    return Ok(JsonStreamItem::Object(std::mem::replace(&mut self.held, rest)));
                 }
             }
-            if self.seen > MOST_LIST {
+            if self.seen > MAX_ENDPOINT_LIST_BYTES {
                 return Err("an object is too long");
             }
         }
         if self.depth == 0 {
             (self.held, self.seen) = (Vec::new(), 0);
         }
-        Ok(Next::More)
+        Ok(JsonStreamItem::Incomplete)
     }
 }
--- a/crates/query-router/src/objects/tests.rs
+++ b/crates/query-router/src/protocol/json_stream/tests.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 fn objects(bytes: &[u8], piece: usize) -> Result<Vec<String>, &'static str> {
-    let (mut stream, mut found) = (Objects::default(), Vec::new());
+    let (mut stream, mut found) = (JsonStream::default(), Vec::new());
     for bytes in bytes.chunks(piece) {
         stream.push(bytes);
         loop {
             match stream.next()? {
-                Next::More => break,
-                Next::Line => {}
-                Next::Object(object) => found.push(String::from_utf8(object).expect("text")),
+                JsonStreamItem::Incomplete => break,
+                JsonStreamItem::BlankLine => {}
+                JsonStreamItem::Object(object) => found.push(String::from_utf8(object).expect("text")),
             }
         }
     }
@@ -30,6 +30,6 @@
 fn what_is_no_run_of_objects_is_known() {
     assert!(objects(b"\n[1]\n", 9).is_err());
     assert!(objects(b"{\"a\":\"b\n{\"a\":1}\n", 9).is_err());
-    assert!(objects(format!("{{{}}}", " ".repeat(MOST_LIST)).as_bytes(), 65_536).is_err());
-    assert!(objects(format!("{}{{}}", "\n".repeat(MOST_LIST)).as_bytes(), 65_536).is_ok());
+    assert!(objects(format!("{{{}}}", " ".repeat(MAX_ENDPOINT_LIST_BYTES)).as_bytes(), 65_536).is_err());
+    assert!(objects(format!("{}{{}}", "\n".repeat(MAX_ENDPOINT_LIST_BYTES)).as_bytes(), 65_536).is_ok());
 }
--- a/crates/query-router/src/query.rs
+++ b/crates/query-router/src/protocol/query_request.rs
@@ -3,7 +3,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::http::Request;
+use crate::protocol::http::Request;
 use balancer::Micros;
 use serde_json::Value as Json;
 
@@ -25,13 +25,13 @@
 
 /// The names and the number of shards that queries are checked against.
 #[derive(Debug, Default)]
-pub struct Terms {
+pub struct QueryVocabulary {
     pub classes: Vec<String>,
     pub tenants: Vec<String>,
     pub shards: usize,
 }
 
-impl Terms {
+impl QueryVocabulary {
     pub fn query(&self, request: &Request) -> Result<Query, &'static str> {
         let id = request.id;
         if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_graphic()) {
--- a/crates/query-router/src/query/tests.rs
+++ b/crates/query-router/src/protocol/query_request/tests.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 fn query(deadline: &str, body: &str) -> Result<Query, &'static str> {
-    let terms = Terms { classes: vec!["look".into(), "pay".into()], tenants: Vec::new(), shards: 4 };
+    let terms =
+        QueryVocabulary { classes: vec!["look".into(), "pay".into()], tenants: Vec::new(), shards: 4 };
     let body = body.as_bytes().into();
     terms.query(&Request { id: "t1", class: "pay", deadline, body, ..Default::default() })
 }
--- a/crates/query-router/src/reducer.rs
+++ b/crates/query-router/src/reducer.rs
@@ -6,10 +6,10 @@
 
 use crate::clients::{Client, Clients, Hand};
 use crate::config::Config;
-use crate::counters::{Counters, must};
+use crate::counters::{Counters, debug_invariant};
 use crate::discovery::{self, Discovery};
-use crate::effects::{Conn, Effect, Event, Node};
 use crate::gather::Gather;
+use crate::io::{ConnectionId, Effect, Event, Node};
 use crate::links::Link;
 use crate::scatter::Scatter;
 use balancer::{
@@ -35,8 +35,8 @@
 pub enum Alarm {
     Module(u64),
     Shot(usize, usize),
-    Peer(Conn),
-    Probe(Conn),
+    Peer(ConnectionId),
+    Probe(ConnectionId),
     Watch,
     Stop,
     LastAnswer,
@@ -206,7 +206,7 @@
         let due = now >= self.desk.settled + self.desk.tick;
         if due && std::mem::take(&mut self.desk.unsettled) {
             self.desk.settled = now;
-            self.desk.counters.turns += 1;
+            self.desk.counters.decisions += 1;
             self.balance.decide(now, &mut self.desk);
         }
         let desk = &mut self.desk;
@@ -239,19 +239,19 @@
         self.peers.iter().filter(|(_, peer)| matches!(peer.kind, Kind::Client(_))).count()
     }
 
-    pub fn kind(&self, conn: Conn) -> Option<&Kind> {
+    pub fn kind(&self, conn: ConnectionId) -> Option<&Kind> {
         self.peers.get(conn).map(|peer| &peer.kind)
     }
 
     /// Looks at a connection again at `at`, in place of the time before.
-    pub fn wake_at(&mut self, conn: Conn, at: Option<Micros>) {
+    pub fn wake_at(&mut self, conn: ConnectionId, at: Option<Micros>) {
         let before = std::mem::replace(&mut self.peers[conn].alarm, at);
         before.map(|at| self.timers.remove(&(at, Alarm::Peer(conn))));
         at.map(|at| self.timers.insert((at, Alarm::Peer(conn))));
     }
 
     /// An index for a new connection, if the limit on sockets allows one; idle ones make room for it.
-    pub fn open(&mut self, kind: Kind) -> Option<Conn> {
+    pub fn open(&mut self, kind: Kind) -> Option<ConnectionId> {
         if self.peers.len() >= self.most_peers {
             let parting = |peer: &Peer| matches!(&peer.kind, Kind::Client(c) if c.hand == Hand::Parting);
             let parting = self.peers.iter().filter(|(_, peer)| parting(peer)).count();
@@ -261,7 +261,7 @@
             }
         }
         let conn = self.peers.insert(Peer { kind, alarm: None });
-        self.counters.sockets_most = self.counters.sockets_most.max(self.peers.len() as u64);
+        self.counters.sockets_peak = self.counters.sockets_peak.max(self.peers.len() as u64);
         Some(conn)
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Forgets a connection and has it closed.
-    pub fn close(&mut self, conn: Conn) {
+    pub fn close(&mut self, conn: ConnectionId) {
         self.wake_at(conn, None);
         if let Kind::Client(client) = self.peers.remove(conn).kind {
             self.let_go_of(&client);
@@ -313,7 +313,7 @@
     fn complete_query(&mut self, query: QueryId, end: Completion) {
         let retrieval = query.0;
         let client = self.gather.leave(retrieval);
-        must!(self.counters, client.is_some(), "one final answer");
+        debug_invariant!(self.counters, client.is_some(), "one final answer");
         self.take_back(retrieval);
         if let Some(conn) = client {
             self.answer(conn, retrieval, end);
--- a/crates/query-router/src/reducer/tests.rs
+++ b/crates/query-router/src/reducer/tests.rs
@@ -5,8 +5,8 @@
 mod lists;
 
 use super::*;
-use crate::effects::Piece;
-use crate::frames;
+use crate::io::Piece;
+use crate::protocol::frames;
 use balancer::EndpointUpdate;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,15 +32,15 @@
     router: Router,
     now: Micros,
     /// What was written on each connection, and where each link leads.
-    written: BTreeMap<Conn, Vec<u8>>,
-    links: Vec<(Conn, u16)>,
-    adopted: Vec<Conn>,
-    closed: Vec<Conn>,
-    finished: Vec<Conn>,
+    written: BTreeMap<ConnectionId, Vec<u8>>,
+    links: Vec<(ConnectionId, u16)>,
+    adopted: Vec<ConnectionId>,
+    closed: Vec<ConnectionId>,
+    finished: Vec<ConnectionId>,
     /// What is written stays half written.
     slow: bool,
     /// Connections with bytes that were not told yet.
-    unread: Vec<Conn>,
+    unread: Vec<ConnectionId>,
     exit: bool,
 }
 
@@ -122,13 +122,13 @@
         self.now = end;
     }
 
-    fn client(&mut self) -> Conn {
+    fn client(&mut self) -> ConnectionId {
         self.tell(Event::Arrived);
         *self.adopted.last().expect("a client")
     }
 
     /// A client's request for two shards, decided on.
-    fn ask(&mut self, class: &str, id: &str) -> Conn {
+    fn ask(&mut self, class: &str, id: &str) -> ConnectionId {
         let conn = self.client();
         let request = post(
             class,
@@ -141,17 +141,17 @@
     }
 
     /// The last link to a data node, come up.
-    fn up(&mut self) -> (Conn, u16) {
+    fn up(&mut self) -> (ConnectionId, u16) {
         let link = *self.links.iter().rfind(|link| link.1 != 9).expect("a link");
         self.tell(Event::Up(link.0));
         link
     }
 
-    fn said(&self, conn: Conn) -> String {
+    fn said(&self, conn: ConnectionId) -> String {
         String::from_utf8_lossy(self.written.get(&conn).map_or(&[], Vec::as_slice)).into_owned()
     }
 
-    fn answer(&mut self, link: Conn, line: &str, value: &str) {
+    fn answer(&mut self, link: ConnectionId, line: &str, value: &str) {
         let rest = format!("{line}\n{value}");
         let frame = [&frames::head(b'Y', rest.len())[..], rest.as_bytes()].concat();
         self.tell(Event::Received(link, &frame));
@@ -191,11 +191,11 @@
     bench.ask("look", "t1");
     bench.now += 1_000;
     bench.ask("look", "t2");
-    assert_eq!(bench.router.desk.counters.shots_asked, 2);
+    assert_eq!(bench.router.desk.counters.attempts_requested, 2);
     bench.pass(3_000);
-    assert_eq!(bench.router.desk.counters.shots_asked, 2);
+    assert_eq!(bench.router.desk.counters.attempts_requested, 2);
     bench.pass(1_000);
-    assert_eq!(bench.router.desk.counters.shots_asked, 4);
+    assert_eq!(bench.router.desk.counters.attempts_requested, 4);
 }
 
 #[test]
@@ -237,7 +237,7 @@
         bench.settle();
         assert_eq!(bench.said(link), "");
     }
-    assert_eq!(bench.router.desk.counters.shots_sent, 0);
+    assert_eq!(bench.router.desk.counters.attempts_sent, 0);
 }
 
 #[test]
@@ -248,7 +248,7 @@
     // Sockets are heard before alarms: the alarm is due in this turn too.
     bench.now += 1_500_000;
     bench.tell(Event::Up(link));
-    assert_eq!((bench.said(link), bench.router.desk.counters.shots_unsent), (String::new(), 2));
+    assert_eq!((bench.said(link), bench.router.desk.counters.attempts_not_sent), (String::new(), 2));
 }
 
 #[test]
@@ -266,12 +266,16 @@
 #[test]
 fn a_query_whose_client_left_is_not_sent_once_a_socket_is_free() {
     let mut bench = Bench::new();
-    let _clients: Vec<Conn> = (0..4).map(|_| bench.client()).collect();
+    let _clients: Vec<ConnectionId> = (0..4).map(|_| bench.client()).collect();
     let client = bench.ask("pay", "t1");
-    assert_eq!((bench.links.len(), bench.router.desk.counters.shots_asked), (1, 2), "discovery's alone");
+    assert_eq!(
+        (bench.links.len(), bench.router.desk.counters.attempts_requested),
+        (1, 2),
+        "discovery's alone"
+    );
     bench.tell(Event::Ended(client, 0));
     bench.pass(500_000);
-    assert_eq!((bench.links.len(), bench.router.desk.counters.shots_unsent), (1, 2));
+    assert_eq!((bench.links.len(), bench.router.desk.counters.attempts_not_sent), (1, 2));
     assert_eq!(bench.router.desk.gather.parts.len(), 0);
 }
 
@@ -279,7 +283,7 @@
 fn a_query_that_waits_for_a_socket_until_its_time_is_over_ends_alone() {
     // Nothing is withdrawn here, so what waits ends by its own time, in the turn in which its query is forgotten.
     let mut bench = Bench::of(&CONFIG.replace("\"cancelling\":true", "\"cancelling\":false"));
-    let clients: Vec<Conn> = (0..4).map(|_| bench.client()).collect();
+    let clients: Vec<ConnectionId> = (0..4).map(|_| bench.client()).collect();
     let client = bench.ask("look", "t1");
     bench.pass(1_600_000);
     assert!(bench.said(client).starts_with("HTTP/1.1 503"), "{}", bench.said(client));
@@ -289,7 +293,7 @@
     bench.settle();
     let (link, _) = bench.up();
     assert!(bench.said(link).contains("t2.0") && !bench.said(link).contains("t1"), "{}", bench.said(link));
-    assert_eq!(bench.router.desk.counters.shots_sent, 2);
+    assert_eq!(bench.router.desk.counters.attempts_sent, 2);
 }
 
 #[test]
@@ -301,7 +305,7 @@
     assert_eq!(bench.said(link).len(), 12);
     bench.tell(Event::Ended(client, 0));
     assert!(bench.closed.contains(&link));
-    assert_eq!(bench.router.desk.counters.shots_unsent, 2);
+    assert_eq!(bench.router.desk.counters.attempts_not_sent, 2);
 }
 
 #[test]
@@ -314,8 +318,8 @@
     bench.pass(1_600_000);
     assert!(bench.closed.contains(&link) && bench.said(client).starts_with("HTTP/1.1 50"));
     let counters = &bench.router.desk.counters;
-    assert_eq!((parts, counters.shots_unreachable, counters.shots_withdrawn), (2, 0, 0));
-    assert_eq!(counters.shots_unsent, 2);
+    assert_eq!((parts, counters.attempts_connect_failed, counters.attempts_cancelled), (2, 0, 0));
+    assert_eq!(counters.attempts_not_sent, 2);
 }
 
 #[test]
@@ -329,8 +333,8 @@
     bench.answer(link, "t1.0 OK 5 -", "alpha");
     bench.answer(link, "t1.0 OK 5 -", "alpha");
     bench.pass(2_000_000);
-    assert_eq!((bench.said(client), bench.router.desk.counters.answers_late), (String::new(), 1));
-    assert_eq!((bench.router.desk.counters.shots_overdue, bench.router.desk.gather.parts.len()), (1, 0));
+    assert_eq!((bench.said(client), bench.router.desk.counters.responses_late), (String::new(), 1));
+    assert_eq!((bench.router.desk.counters.attempts_timed_out, bench.router.desk.gather.parts.len()), (1, 0));
 }
 
 #[test]
@@ -369,7 +373,11 @@
                 bench.tell(Event::Received(link, &bytes));
             }
             let counters = &bench.router.desk.counters;
-            let ends = (counters.shots_spoilt, counters.shots_withdrawn, counters.shots_broken);
+            let ends = (
+                counters.attempts_malformed_response,
+                counters.attempts_cancelled,
+                counters.attempts_connection_lost,
+            );
             assert_eq!((&bench.closed[..], ends), (&[link][..], (1, 1, 0)), "{bytes:?}");
             assert!(split < bytes.len() - 1 || bench.router.desk.gather.parts[at].shots[0].over);
             bench.settle();
@@ -389,7 +397,7 @@
     bench.pass(249_000);
     assert!(!bench.closed.contains(&link));
     bench.pass(2_000);
-    assert!(bench.closed.contains(&link) && bench.router.desk.counters.shots_spoilt == 1);
+    assert!(bench.closed.contains(&link) && bench.router.desk.counters.attempts_malformed_response == 1);
     // One that has said nothing since a shot that another overtook is worn.
     let node = if port == 71 { 0 } else { 1 };
     bench.ask("look", "t2");
@@ -408,7 +416,7 @@
     let mut bench = Bench::new();
     bench.router.desk.most_peers = 9;
     let ids: Vec<std::rc::Rc<str>> = vec!["t1.0".into()];
-    let links: Vec<Conn> = (0..4)
+    let links: Vec<ConnectionId> = (0..4)
         .map(|_| {
             let conn = bench.router.desk.link_for(0, &ids).expect("a socket");
             bench.effects();
@@ -438,14 +446,14 @@
         bench.tell(Event::Received(link, &[good, more].concat()));
         bench.settle();
         assert!(bench.said(client).starts_with("HTTP/1.1 200"), "{behind}");
-        assert!(bench.closed.contains(&link) && bench.router.desk.counters.frames_bad == 0);
+        assert!(bench.closed.contains(&link) && bench.router.desk.counters.frames_malformed == 0);
     }
 }
 
 #[test]
 fn bad_requests_are_told_off_and_the_module_is_not_troubled() {
     let mut bench = Bench::new();
-    let turns = bench.router.desk.counters.turns;
+    let turns = bench.router.desk.counters.decisions;
     for (request, status) in [
         ("GET /api HTTP/1.1\r\n\r\n".to_string(), "405"),
         ("GET /else HTTP/1.1\r\n\r\n".to_string(), "404"),
@@ -462,7 +470,7 @@
         bench.tell(Event::Ended(client, 0));
         bench.written.clear();
     }
-    assert_eq!(bench.router.desk.counters.turns, turns);
+    assert_eq!(bench.router.desk.counters.decisions, turns);
 }
 
 #[test]
@@ -476,7 +484,7 @@
         bench.tell(Event::Received(client, &request.as_bytes()[..end]));
     }
     assert_eq!(bench.said(client), "HTTP/1.1 100 Continue\r\n\r\n");
-    assert_eq!(bench.router.desk.counters.retrievals_taken, 1);
+    assert_eq!(bench.router.desk.counters.queries_accepted, 1);
 }
 
 #[test]
@@ -498,12 +506,9 @@
 #[test]
 fn more_than_the_limit_is_deferred_before_the_module_hears_of_it() {
     let mut bench = Bench::new();
-    let clients: Vec<Conn> = (0..3).map(|i| bench.ask("look", &format!("t{i}"))).collect();
+    let clients: Vec<ConnectionId> = (0..3).map(|i| bench.ask("look", &format!("t{i}"))).collect();
     assert!(bench.said(clients[2]).starts_with("HTTP/1.1 503"));
-    assert_eq!(
-        (bench.said(clients[1]), bench.router.desk.counters.retrievals_over_limit),
-        (String::new(), 1)
-    );
+    assert_eq!((bench.said(clients[1]), bench.router.desk.counters.queries_over_limit), (String::new(), 1));
 }
 
 #[test]
@@ -518,9 +523,9 @@
 fn idle_connections_make_room_before_a_client_waits() {
     let mut bench = Bench::new();
     // Six connections are allowed; one is discovery's. A new one is about to have its request: it stays.
-    let clients: Vec<Conn> = (0..5).map(|_| bench.client()).collect();
+    let clients: Vec<ConnectionId> = (0..5).map(|_| bench.client()).collect();
     bench.tell(Event::Arrived);
-    assert_eq!((bench.adopted.len(), bench.router.desk.counters.clients_held_back), (5, 1));
+    assert_eq!((bench.adopted.len(), bench.router.desk.counters.client_connections_delayed), (5, 1));
     // One that has been answered and has nothing unread is parted with.
     bench.tell(Event::Received(clients[3], b"GET /-/ready HTTP/1.1\r\n\r\n"));
     bench.settle();
@@ -534,7 +539,7 @@
 #[test]
 fn a_request_that_was_not_read_yet_keeps_its_connection() {
     let mut bench = Bench::new();
-    let clients: Vec<Conn> = (0..5).map(|_| bench.client()).collect();
+    let clients: Vec<ConnectionId> = (0..5).map(|_| bench.client()).collect();
     bench.unread = vec![clients[1]];
     bench.tell(Event::Received(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n"));
     bench.tell(Event::Arrived);
@@ -547,7 +552,7 @@
     let mut bench = Bench::new();
     bench.router.desk.most_peers = 24;
     // A sixth of the sockets may rest with clients that ask nothing.
-    let asked: Vec<Conn> = (0..6)
+    let asked: Vec<ConnectionId> = (0..6)
         .map(|_| {
             let conn = bench.client();
             bench.tell(Event::Received(conn, b"GET /-/ready HTTP/1.1\r\n\r\n"));
@@ -557,7 +562,7 @@
         .collect();
     assert_eq!(bench.closed, asked[..2]);
     // New ones are about to ask; those that have asked before make room for them.
-    let silent: Vec<Conn> = (0..6).map(|_| bench.client()).collect();
+    let silent: Vec<ConnectionId> = (0..6).map(|_| bench.client()).collect();
     assert_eq!(bench.closed.len(), 6);
     assert!(!silent.iter().any(|conn| bench.closed[6..].contains(conn)));
     bench.pass(2_100_000);
@@ -567,20 +572,20 @@
 #[test]
 fn a_call_without_a_socket_waits_and_says_nothing_of_its_node() {
     let mut bench = Bench::new();
-    let clients: Vec<Conn> = (0..4).map(|_| bench.client()).collect();
+    let clients: Vec<ConnectionId> = (0..4).map(|_| bench.client()).collect();
     let busy = bench.ask("pay", "t1");
     assert_eq!(bench.links.len(), 1, "discovery's alone");
     bench.tell(Event::Ended(clients[0], 0));
     bench.settle();
     let (link, _) = bench.up();
     assert!(bench.said(link).contains("t1.0") && bench.said(busy).is_empty());
-    assert_eq!(bench.router.desk.counters.shots_unreachable, 0);
+    assert_eq!(bench.router.desk.counters.attempts_connect_failed, 0);
 }
 
 #[test]
 fn a_call_that_waits_for_a_socket_is_taken_back_from_a_drained_node() {
     let mut bench = Bench::new();
-    let clients: Vec<Conn> = (0..4).map(|_| bench.client()).collect();
+    let clients: Vec<ConnectionId> = (0..4).map(|_| bench.client()).collect();
     bench.ask("pay", "t1");
     let node = bench.router.desk.gather.parts[0].shots[0].node;
     let members = [("a", 71), ("b", 72)].into_iter().enumerate().map(|(i, (id, port))| {
@@ -592,7 +597,7 @@
     bench.tell(Event::Ended(clients[0], 0));
     bench.settle();
     let (_, port) = bench.up();
-    assert_eq!((port, bench.router.desk.counters.shots_unsent), ([72, 71][node], 2));
+    assert_eq!((port, bench.router.desk.counters.attempts_not_sent), ([72, 71][node], 2));
 }
 
 #[test]
@@ -609,7 +614,7 @@
     bench.router.list(&list("draining", 0), EndpointUpdate::Incremental);
     bench.settle();
     bench.settle();
-    assert_eq!(bench.router.desk.counters.shots_unsent, 2);
+    assert_eq!(bench.router.desk.counters.attempts_not_sent, 2);
     bench.tell(Event::Up(link));
     let (other, other_port) = bench.up();
     assert!(other_port != port && bench.said(link).is_empty() && bench.said(other).contains("t1.0"));
@@ -622,7 +627,10 @@
         "host_port": format!("127.0.0.1:{other_port}"), "size": 1.0, "up_since_ms": up}]});
     bench.router.list(&fresh, EndpointUpdate::Incremental);
     bench.effects();
-    assert_eq!((bench.router.desk.counters.shots_broken, bench.closed.contains(&other)), (2, true));
+    assert_eq!(
+        (bench.router.desk.counters.attempts_connection_lost, bench.closed.contains(&other)),
+        (2, true)
+    );
 }
 
 #[test]
@@ -701,7 +709,7 @@
     bench.tell(Event::Received(link, &[0, 0, 0, 3, b'G', b'O', b'K']));
     bench.router.desk.send_probe(0);
     bench.effects();
-    assert!(bench.router.desk.counters.probes_sent == 2 && !bench.closed.contains(&link));
+    assert!(bench.router.desk.counters.health_checks_sent == 2 && !bench.closed.contains(&link));
     bench.pass(300_000);
     assert!(bench.closed.contains(&link));
 }
@@ -729,10 +737,10 @@
     assert!(!bench.said(first).contains("t2.0"));
     bench.pass(10_000);
     assert!(bench.said(first).contains("t2.0"), "{}", bench.said(first));
-    assert_eq!(bench.router.desk.counters.calls_handed_over, 1);
+    assert_eq!(bench.router.desk.counters.batches_reassigned, 1);
     // The one that comes up late carries nothing, and that its node could not be reached is not said.
     bench.pass(250_000);
-    assert_eq!((bench.said(second), bench.router.desk.counters.shots_unreachable), (String::new(), 0));
+    assert_eq!((bench.said(second), bench.router.desk.counters.attempts_connect_failed), (String::new(), 0));
     bench.answer(first, "t2.0 OK 5 -", "two");
     bench.pass(5_000);
     let said = [bench.said(client), bench.said(other)];
--- a/crates/query-router/src/reducer/tests/disorder.rs
+++ b/crates/query-router/src/reducer/tests/disorder.rs
@@ -23,21 +23,21 @@
     router: Router,
     now: Micros,
     rng: fastrand::Rng,
-    ends: BTreeMap<Conn, RemoteEnd>,
+    ends: BTreeMap<ConnectionId, RemoteEnd>,
     /// Effects in the loop's order, and what it tells after them.
     after: Vec<After>,
     queries: u64,
     revision: u64,
     /// How often each part went out whole, by its id, where that may be done once only.
     whole: BTreeMap<String, usize>,
-    answers: BTreeMap<Conn, usize>,
+    answers: BTreeMap<ConnectionId, usize>,
     exit: bool,
 }
 
 enum After {
-    Ended(Conn, u64),
-    Flushed(Conn),
-    Read(Conn),
+    Ended(ConnectionId, u64),
+    Flushed(ConnectionId),
+    Read(ConnectionId),
 }
 
 impl World {
@@ -146,7 +146,7 @@
         }
     }
 
-    fn take_all(&mut self, conn: Conn) {
+    fn take_all(&mut self, conn: ConnectionId) {
         let Some(end) = self.ends.get_mut(&conn) else { return };
         end.taken = end.sent.len();
         self.after.push(After::Flushed(conn));
@@ -156,7 +156,7 @@
     }
 
     /// A node reads the calls that came whole.
-    fn read_frames(&mut self, conn: Conn) {
+    fn read_frames(&mut self, conn: ConnectionId) {
         let Some(end) = self.ends.get_mut(&conn) else { return };
         while let Some(head) = end.sent[..end.taken].get(end.read..end.read + 5) {
             let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
@@ -188,19 +188,19 @@
     }
 
     /// The system closes a socket and says how much it had taken.
-    fn fail(&mut self, conn: Conn) {
+    fn fail(&mut self, conn: ConnectionId) {
         if let Some(end) = self.ends.remove(&conn) {
             self.after.push(After::Ended(conn, end.taken as u64));
         }
     }
 
-    fn one(&mut self, of: impl Fn(&RemoteEnd) -> bool) -> Option<Conn> {
-        let fits: Vec<Conn> = self.ends.iter().filter(|end| of(end.1)).map(|end| *end.0).collect();
+    fn one(&mut self, of: impl Fn(&RemoteEnd) -> bool) -> Option<ConnectionId> {
+        let fits: Vec<ConnectionId> = self.ends.iter().filter(|end| of(end.1)).map(|end| *end.0).collect();
         self.rng.choice(fits)
     }
 
     /// Something comes in on a connection, at once or in two pieces.
-    fn say(&mut self, conn: Conn, bytes: &[u8]) {
+    fn say(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let cut = if self.rng.u8(0..6) == 0 { self.rng.usize(0..=bytes.len()) } else { bytes.len() };
         for piece in [&bytes[..cut], &bytes[cut..]] {
             let Some(end) = self.ends.get_mut(&conn) else { return };
@@ -230,13 +230,14 @@
             0 => b"GET /-/ready HTTP/1.1\r\n\r\n".to_vec(),
             1 => b"no request at all\r\n\r\n".to_vec(),
             2 => [post(class, &id, &body), post(class, &format!("{id}b"), &body)].concat().into_bytes(),
-            3 => [post(class, &id, &body).into_bytes(), vec![b'x'; crate::http::MOST_REQUEST]].concat(),
+            3 => [post(class, &id, &body).into_bytes(), vec![b'x'; crate::protocol::http::MAX_REQUEST_BYTES]]
+                .concat(),
             _ => post(class, &id, &body).replace("1500", &wait).into_bytes(),
         }
     }
 
     /// What a node says: an answer to one of its parts, another, or nothing that can be used.
-    fn node_says(&mut self, conn: Conn) {
+    fn node_says(&mut self, conn: ConnectionId) {
         let asked = self.ends[&conn].asked.len();
         let at = self.rng.usize(0..asked.max(1));
         let id = self.ends.get_mut(&conn).filter(|_| asked > 0).map(|end| end.asked.remove(at));
@@ -256,7 +257,7 @@
         self.say(conn, &bytes);
     }
 
-    fn discovery_says(&mut self, conn: Conn) {
+    fn discovery_says(&mut self, conn: ConnectionId) {
         self.revision += self.rng.u64(0..3);
         let mut members = Vec::new();
         for (i, id) in ["a", "b", "c", "d"].into_iter().enumerate() {
@@ -384,7 +385,7 @@
         world.settle();
         let desk = &world.router.desk;
         assert_eq!(desk.gather.open, 0, "seed {seed}: a query without an answer");
-        let clients: Vec<Conn> =
+        let clients: Vec<ConnectionId> =
             world.ends.iter().filter(|end| end.1.port.is_none()).map(|end| *end.0).collect();
         for conn in clients {
             world.fail(conn);
@@ -395,11 +396,11 @@
         let desk = &world.router.desk;
         assert!(world.exit, "seed {seed}: it does not end");
         assert_eq!((desk.gather.retrievals.len(), desk.gather.parts.len()), (0, 0), "seed {seed}");
-        let known: BTreeSet<Conn> = desk.peers.iter().map(|peer| peer.0).collect();
+        let known: BTreeSet<ConnectionId> = desk.peers.iter().map(|peer| peer.0).collect();
         assert_eq!(known, world.ends.keys().copied().collect(), "seed {seed}: connections of nobody");
-        assert_eq!(desk.counters.broken_invariants, 0);
+        assert_eq!(desk.counters.invariants_violated, 0);
         // What may not run twice went out whole once, unless a node turned it away for certain.
-        let turned_away = desk.counters.shots_turned_away;
+        let turned_away = desk.counters.attempts_rejected;
         let again = world.whole.values().filter(|&&times| times > 1).count() as u64;
         assert!(again <= turned_away, "seed {seed}: {again} sent again, {turned_away} turned away");
     }
--- a/crates/query-router/src/reducer/tests/lists.rs
+++ b/crates/query-router/src/reducer/tests/lists.rs
@@ -33,9 +33,9 @@
         assert_eq!((ready, left.len()), (vec![true, false], 0), "split at {at}");
         // A watch that was well is begun anew in the moment in which it counts as silent.
         bench.pass(3_999_999);
-        assert_eq!((bench.links[0].0, bench.router.desk.counters.watches_silent), (watch, 0));
+        assert_eq!((bench.links[0].0, bench.router.desk.counters.endpoint_watches_silent), (watch, 0));
         bench.pass(1);
-        assert_eq!((bench.links.len(), bench.router.desk.counters.watches_silent), (1, 1));
+        assert_eq!((bench.links.len(), bench.router.desk.counters.endpoint_watches_silent), (1, 1));
         assert_eq!(bench.router.desk.counters.discovery_failures, 0);
         let most = (0..160).map(|_| {
             bench.pass(100_000);
@@ -86,9 +86,9 @@
     bench.tell(Event::Up(again));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     bench.tell(Event::Received(again, head.as_bytes()));
-    let calls = bench.router.desk.counters.discovery_calls;
+    let calls = bench.router.desk.counters.discovery_requests;
     bench.pass(3_000_000);
-    assert_eq!(bench.router.desk.counters.discovery_calls, calls);
+    assert_eq!(bench.router.desk.counters.discovery_requests, calls);
     assert_eq!(bench.links.len(), 1);
 }
 
@@ -147,7 +147,7 @@
         bench.tell(Event::Ended(call, 0));
         let counters = &bench.router.desk.counters;
         assert_eq!(
-            (counters.lists_whole, counters.discovery_failures),
+            (counters.endpoint_lists_full, counters.discovery_failures),
             (1 + listed, 1 - listed),
             "{rest} {closed}"
         );
@@ -166,7 +166,7 @@
 }
 
 /// Has a call answered with these bytes, so many at a time; what was not taken is told again.
-fn tell_in_pieces(bench: &mut Bench, call: Conn, bytes: &[u8], piece: usize) {
+fn tell_in_pieces(bench: &mut Bench, call: ConnectionId, bytes: &[u8], piece: usize) {
     let mut left = Vec::new();
     for piece in bytes.chunks(piece) {
         left.extend_from_slice(piece);
@@ -193,7 +193,7 @@
 fn lists_of_any_size_are_read_compact_and_indented_by_length_and_in_chunks() {
     for indented in [false, true] {
         let list = list_of(1_100, indented);
-        assert!(list.len() > 2 * crate::http::MOST_BODY);
+        assert!(list.len() > 2 * crate::protocol::http::MAX_BODY_BYTES);
         let by_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let one_chunk = format!("{head}1\r\n\n\r\n{:x}\r\n{list}\r\n1\r\n\n\r\n0\r\n\r\n", list.len());
@@ -257,7 +257,7 @@
         (false, r#"{"revision":"x","complete":true,"members":[]}"#.to_string()),
         (false, r#"{"revision":44,"complete":true,"members":["#.to_string()),
         (false, format!(r#"{{"revision":44,"complete":true,"members":[{member},{member}]}}"#)),
-        (false, "x".repeat(crate::objects::MOST_LIST + 1)),
+        (false, "x".repeat(crate::protocol::json_stream::MAX_ENDPOINT_LIST_BYTES + 1)),
     ] {
         let mut bench = Bench::new();
         let call = if watch { bench.links[0].0 } else { bench.router.desk.call(false).expect("a socket") };
@@ -267,16 +267,16 @@
         bench.tell(Event::Received(call, text.as_bytes()));
         let counters = &bench.router.desk.counters;
         assert_eq!(
-            (counters.lists_bad, counters.discovery_failures),
+            (counters.endpoint_lists_invalid, counters.discovery_failures),
             (1, 1),
             "{}",
             &body[..body.len().min(80)]
         );
         assert!(bench.router.desk.scatter.nodes.iter().all(|place| place.ready), "the list in hand stays");
-        let calls = bench.router.desk.counters.discovery_calls;
+        let calls = bench.router.desk.counters.discovery_requests;
         bench.settle();
         bench.pass(20_000_000);
-        assert!(bench.router.desk.counters.discovery_calls > calls);
+        assert!(bench.router.desk.counters.discovery_requests > calls);
     }
     // A length that no list has is not believed, however little comes.
     let mut bench = Bench::new();
@@ -284,7 +284,7 @@
     bench.tell(Event::Up(call));
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{", usize::MAX);
     bench.tell(Event::Received(call, text.as_bytes()));
-    assert_eq!(bench.router.desk.counters.lists_bad, 1);
+    assert_eq!(bench.router.desk.counters.endpoint_lists_invalid, 1);
 }
 
 #[test]
@@ -326,7 +326,8 @@
         bench.tell(Event::Discovery(SocketAddr::from(([127, 0, 0, 1], port))));
     }
     assert!(bench.closed.contains(&old) && bench.closed.contains(&list));
-    let calls: Vec<Conn> = bench.links.iter().filter(|link| link.1 == 11).map(|link| link.0).collect();
+    let calls: Vec<ConnectionId> =
+        bench.links.iter().filter(|link| link.1 == 11).map(|link| link.0).collect();
     assert!(calls.len() == 2 && !bench.links.iter().any(|link| link.1 == 9 || link.1 == 10));
     calls.iter().for_each(|&call| bench.tell(Event::Up(call)));
     // The new one's revisions are its own.
--- a/crates/query-router/src/scatter.rs
+++ b/crates/query-router/src/scatter.rs
@@ -1,9 +1,9 @@
 //! Shots of the module: which call and which connection each goes on, and how it ended.
 
 use crate::config::Config;
-use crate::counters::must;
-use crate::effects::{Conn, Effect, Node};
+use crate::counters::debug_invariant;
 use crate::gather::Shot;
+use crate::io::{ConnectionId, Effect, Node};
 use crate::links::{Left, ShotId};
 use crate::reducer::{Alarm, Desk, Router};
 use balancer::{
@@ -25,7 +25,7 @@
     pub released: bool,
     /// One of its frames could not be used.
     pub garbled: bool,
-    pub links: Vec<Conn>,
+    pub links: Vec<ConnectionId>,
 }
 
 pub struct Scatter {
@@ -75,10 +75,10 @@
     /// A shot of the module's, put to the others of this settle for the same node.
     pub fn send_shot(&mut self, part: usize, node: Node, timeout: Option<Micros>) {
         let now = self.now;
-        self.counters.shots_asked += 1;
+        self.counters.attempts_requested += 1;
         let held = &mut self.gather.parts[part];
         let retrieval = &self.gather.retrievals[held.retrieval];
-        must!(self.counters, !retrieval.ended(), "no shot after the final answer");
+        debug_invariant!(self.counters, !retrieval.ended(), "no shot after the final answer");
         let until = timeout.map_or(retrieval.until, |timeout| retrieval.until.min(now + timeout));
         let trial = held.shots.len();
         held.shots.push(Shot { node, at: now, until, link: None, over: false });
@@ -99,7 +99,7 @@
     }
 
     /// Has a call wait on a connection.
-    pub fn put_on(&mut self, conn: Conn, shots: Vec<ShotId>) {
+    pub fn put_on(&mut self, conn: ConnectionId, shots: Vec<ShotId>) {
         for &(part, trial) in &shots {
             self.gather.parts[part].shots[trial].link = Some(conn);
         }
@@ -108,7 +108,7 @@
 
     /// Puts the calls of this settle on connections.
     pub fn write_calls(&mut self) {
-        let mut touched: Vec<Conn> = self.hand_over();
+        let mut touched: Vec<ConnectionId> = self.hand_over();
         for (node, shots) in std::mem::take(&mut self.scatter.calls) {
             if self.scatter.nodes[node].at.is_none() {
                 shots
@@ -185,15 +185,15 @@
         }
         self.timers.remove(&(shot.until, Alarm::Shot(part, trial)));
         let count = match outcome {
-            AttemptOutcome::Succeeded => &mut self.counters.shots_ok,
-            AttemptOutcome::ServerError => &mut self.counters.shots_error,
-            AttemptOutcome::Rejected => &mut self.counters.shots_turned_away,
-            AttemptOutcome::TimedOut => &mut self.counters.shots_overdue,
-            AttemptOutcome::ConnectFailed => &mut self.counters.shots_unreachable,
-            AttemptOutcome::ConnectionLost => &mut self.counters.shots_broken,
-            AttemptOutcome::Cancelled => &mut self.counters.shots_withdrawn,
-            AttemptOutcome::NotSent => &mut self.counters.shots_unsent,
-            AttemptOutcome::MalformedResponse => &mut self.counters.shots_spoilt,
+            AttemptOutcome::Succeeded => &mut self.counters.attempts_succeeded,
+            AttemptOutcome::ServerError => &mut self.counters.attempts_server_error,
+            AttemptOutcome::Rejected => &mut self.counters.attempts_rejected,
+            AttemptOutcome::TimedOut => &mut self.counters.attempts_timed_out,
+            AttemptOutcome::ConnectFailed => &mut self.counters.attempts_connect_failed,
+            AttemptOutcome::ConnectionLost => &mut self.counters.attempts_connection_lost,
+            AttemptOutcome::Cancelled => &mut self.counters.attempts_cancelled,
+            AttemptOutcome::NotSent => &mut self.counters.attempts_not_sent,
+            AttemptOutcome::MalformedResponse => &mut self.counters.attempts_malformed_response,
         };
         *count += 1;
         Some((shot.node, self.now - shot.at))
--- a/crates/query-router/src/serve.rs
+++ b/crates/query-router/src/serve.rs
@@ -4,8 +4,8 @@
 mod tests;
 
 use crate::config::Config;
-use crate::effects::{Conn, Effect, Event, Piece};
-use crate::http::{MOST_BODY, MOST_REQUEST};
+use crate::io::{ConnectionId, Effect, Event, Piece};
+use crate::protocol::http::{MAX_BODY_BYTES, MAX_REQUEST_BYTES};
 use crate::reducer::Router;
 use balancer::Micros;
 use calloop::generic::Generic;
@@ -61,13 +61,13 @@
 
 /// What is to be told to the reducer after the effects in hand.
 enum After {
-    Read(Conn),
-    Flushed(Conn),
-    Ended(Conn, u64),
+    Read(ConnectionId),
+    Flushed(ConnectionId),
+    Ended(ConnectionId, u64),
 }
 
 impl After {
-    fn conn(&self) -> Conn {
+    fn conn(&self) -> ConnectionId {
         let (After::Read(conn) | After::Flushed(conn) | After::Ended(conn, _)) = self;
         *conn
     }
@@ -81,7 +81,7 @@
     clock: Clock,
     router: Router,
     sockets: Vec<Option<Socket>>,
-    ready: Vec<(Conn, Readiness)>,
+    ready: Vec<(ConnectionId, Readiness)>,
     after: VecDeque<After>,
     listener: Rc<TcpListener>,
     listening: RegistrationToken,
@@ -159,7 +159,7 @@
         arrived: VecDeque::new(),
         signals: Vec::new(),
         timer: None,
-        scratch: vec![0; MOST_BODY],
+        scratch: vec![0; MAX_BODY_BYTES],
         ending: false,
         done: false,
     };
@@ -187,7 +187,7 @@
     fn turn(&mut self) {
         // Guards against what goes out on a connection that has just come up though its client left, or its node
         // began to drain, in this very turn: what is up is heard first.
-        let up = |conn: Conn| matches!(self.sockets.get(conn), Some(Some(socket)) if socket.up);
+        let up = |conn: ConnectionId| matches!(self.sockets.get(conn), Some(Some(socket)) if socket.up);
         let (heard, coming_up): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.ready).into_iter().partition(|ready| up(ready.0));
         for (conn, readiness) in heard.into_iter().chain(coming_up) {
@@ -345,7 +345,7 @@
     }
 
     /// Whether something has come in that is not read yet: some bytes, or, as none, the connection's end.
-    fn unread(&self, conn: Conn) -> Option<usize> {
+    fn unread(&self, conn: ConnectionId) -> Option<usize> {
         let socket = self.sockets.get(conn)?.as_ref()?;
         match socket.stream.peek(&mut [0]) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
@@ -354,24 +354,24 @@
     }
 
     /// Has a connection read next turn, though no word of the system's comes.
-    fn read_next(&mut self, conn: Conn) {
+    fn read_next(&mut self, conn: ConnectionId) {
         self.ready.push((conn, Readiness { readable: true, writable: false, error: false }));
     }
 
     /// Closes a socket and has the reducer told, once.
-    fn fail(&mut self, conn: Conn) {
+    fn fail(&mut self, conn: ConnectionId) {
         if let Some(socket) = self.take(conn) {
             self.after.push_back(After::Ended(conn, socket.written));
         }
     }
 
-    fn take(&mut self, conn: Conn) -> Option<Socket> {
+    fn take(&mut self, conn: ConnectionId) -> Option<Socket> {
         let socket = self.sockets.get_mut(conn)?.take()?;
         self.handle.remove(socket.token);
         Some(socket)
     }
 
-    fn register(&mut self, conn: Conn, stream: TcpStream, up: bool) {
+    fn register(&mut self, conn: ConnectionId, stream: TcpStream, up: bool) {
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
         let token = self.handle.insert_source(source, move |readiness, _, server: &mut Server| {
@@ -389,7 +389,7 @@
             Some(Socket { stream, token, up, full: false, input, output, offset: 0, written: 0 });
     }
 
-    fn socket_ready(&mut self, conn: Conn, readiness: Readiness) {
+    fn socket_ready(&mut self, conn: ConnectionId, readiness: Readiness) {
         let Some(Some(socket)) = self.sockets.get_mut(conn) else { return };
         if !socket.up {
             let failed = !matches!(socket.stream.take_error(), Ok(None));
@@ -413,14 +413,14 @@
     }
 
     /// Reads until nothing is left or the buffer is full, and tells what came.
-    fn read(&mut self, conn: Conn) {
+    fn read(&mut self, conn: ConnectionId) {
         for turn in 0.. {
             // Guards against one that sends at full speed keeping all others waiting.
             if turn == MOST_READS {
                 return self.read_next(conn);
             }
             let Some(Some(socket)) = self.sockets.get_mut(conn) else { return };
-            socket.full = socket.input.len() >= MOST_REQUEST;
+            socket.full = socket.input.len() >= MAX_REQUEST_BYTES;
             if socket.full {
                 return;
             }
@@ -444,7 +444,7 @@
     }
 
     /// Writes until nothing is left or the socket takes no more.
-    fn write(&mut self, conn: Conn) {
+    fn write(&mut self, conn: ConnectionId) {
         let Some(Some(socket)) = self.sockets.get_mut(conn) else { return };
         if socket.output.is_empty() {
             return;
--- a/crates/settings-schema/src/names.rs
+++ b/crates/settings-schema/src/names.rs
@@ -158,7 +158,8 @@
     Ok(to)
 }
 
-pub fn phase(code: &str) -> Option<EndpointState> {
+/// The state of an endpoint by the platform's code.
+pub fn endpoint_state(code: &str) -> Option<EndpointState> {
     Some(match code {
         "ready" => EndpointState::Ready,
         "draining" => EndpointState::Draining,
@@ -167,14 +168,41 @@
     })
 }
 
-/// An entry of a list of data nodes: its id, address, zone, cell, phase, size and last start.
-pub fn member(entry: &Json) -> Option<(&str, &str, &str, usize, EndpointState, f64, Micros)> {
-    let text = |name: &str| entry[name].as_str().unwrap_or("");
-    let id = Some(text("id")).filter(|id| !id.is_empty())?;
-    let (cell, phase) = (entry["cell"].as_u64()? as usize, phase(text("phase"))?);
-    let up_since = entry["up_since_ms"].as_i64().unwrap_or(0).saturating_mul(1000);
-    let size = entry["size"].as_f64().unwrap_or(1.0);
-    Some((id, text("host_port"), text("locality"), cell, phase, size, up_since))
+/// One entry of an endpoint list in the platform's form.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct EndpointEntry<'a> {
+    /// The node's id.
+    pub id: &'a str,
+    /// Its address with port, as text; empty if absent.
+    pub address: &'a str,
+    /// The name of its zone; empty if absent.
+    pub zone: &'a str,
+    /// Index of the replica set that it belongs to.
+    pub replica_set: usize,
+    /// Whether it may be used.
+    pub state: EndpointState,
+    /// Its size relative to others, 1 if absent.
+    pub scale: f64,
+    /// When its process started, in microseconds; 0 if absent.
+    pub started_at: Micros,
+}
+
+impl<'a> EndpointEntry<'a> {
+    /// Reads an entry; `None` if its id, replica set or state is missing or malformed.
+    pub fn parse(entry: &'a Json) -> Option<Self> {
+        let text = |name: &str| entry[name].as_str().unwrap_or("");
+        let id = Some(text("id")).filter(|id| !id.is_empty())?;
+        let started_at_ms = entry["up_since_ms"].as_i64().unwrap_or(0);
+        Some(EndpointEntry {
+            id,
+            address: text("host_port"),
+            zone: text("locality"),
+            replica_set: entry["cell"].as_u64()? as usize,
+            state: endpoint_state(text("phase"))?,
+            scale: entry["size"].as_f64().unwrap_or(1.0),
+            started_at: started_at_ms.saturating_mul(1000),
+        })
+    }
 }
 
 /// A load report's pairs under our names; `mark` stands between name and figure.
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -36,7 +36,7 @@
                 line.text("node")?.to_string(),
                 line.or("campus", 0)?,
                 line.or("position", 0)?,
-                line.code("phase", names::phase)?,
+                line.code("phase", names::endpoint_state)?,
                 line.or("scale", 1.0)?,
                 line.micros_or_zero("upSinceNs")?,
             );
