--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -12,8 +12,8 @@
 mod links;
 mod protocol;
 
+mod event_loop;
 mod reducer;
 mod scatter;
-mod serve;
 
-pub use serve::{Heeded, heed_signals, serve};
+pub use event_loop::{Heeded, heed_signals, serve};
