--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -15,9 +15,9 @@
 
 impl Serve {
     pub fn run(self) -> Result<(), String> {
-        let signals = query_router::heed_signals()?;
+        let signals = query_router::install_signal_handlers().map_err(|e| e.to_string())?;
         log_to_stderr(&mut operator(self.operator)?)?;
         let (config, path) = platform(self.config)?;
-        query_router::serve(signals, config, path)
+        query_router::serve(signals, config, path).map_err(|e| e.to_string())
     }
 }
--- /dev/null
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -0,0 +1,183 @@
+//! Carrying out what the router asks of the event loop, and reporting back what came of it.
+
+use super::socket::{ConnectState, Socket, Unread, WriteOutcome, start_connecting};
+use super::{ExitState, Server, print_to_stderr};
+use crate::io::{ConnectionId, Effect, Event, Piece};
+use calloop::generic::Generic;
+use calloop::{Interest, Mode, PostAction, Readiness};
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+
+/// An event that follows from an effect. The router is told of it after the other effects of the same step.
+#[derive(Debug)]
+pub(super) enum PendingEvent {
+    /// The router asked to see once more what was received.
+    ReadAgain(ConnectionId),
+    /// All queued output is written.
+    Flushed(ConnectionId),
+    /// The connection is closed.
+    Ended { connection: ConnectionId, written_bytes: u64 },
+}
+
+impl PendingEvent {
+    fn connection(&self) -> ConnectionId {
+        match self {
+            PendingEvent::ReadAgain(connection) | PendingEvent::Flushed(connection) => *connection,
+            PendingEvent::Ended { connection, .. } => *connection,
+        }
+    }
+}
+
+impl Server {
+    /// Tells the router of an event and carries out what it asks.
+    pub(super) fn report_event(&mut self, event: Event) {
+        self.router.step(self.clock.now(), event);
+        self.carry_out_effects();
+    }
+
+    /// Carries out what the router asked, and reports what came of that, until nothing is left.
+    pub(super) fn carry_out_effects(&mut self) {
+        loop {
+            for effect in std::mem::take(&mut self.router.desk.effects) {
+                self.carry_out(effect);
+            }
+            let now = self.clock.now();
+            match self.pending_events.pop_front() {
+                None => return,
+                Some(PendingEvent::ReadAgain(connection)) => {
+                    if self.socket(connection).is_some_and(Socket::is_input_full) {
+                        self.read_in_next_iteration(connection);
+                    }
+                    if let Some(Some(socket)) = self.sockets.get(connection) {
+                        self.router.step(now, Event::Received(connection, socket.input()));
+                    }
+                }
+                Some(PendingEvent::Flushed(connection)) => self.router.step(now, Event::Flushed(connection)),
+                Some(PendingEvent::Ended { connection, written_bytes }) => {
+                    self.router.step(now, Event::Ended(connection, written_bytes));
+                }
+            }
+        }
+    }
+
+    fn carry_out(&mut self, effect: Effect) {
+        match effect {
+            Effect::Adopt(connection) => {
+                if let Some(stream) = self.listener.take_accepted() {
+                    self.register(connection, stream, ConnectState::Connected);
+                }
+            }
+            Effect::Connect(connection, address) => self.connect(connection, address),
+            Effect::Taken(connection, count) => {
+                if let Some(socket) = self.socket_mut(connection) {
+                    socket.consume_input(count);
+                }
+            }
+            Effect::Read(connection) => self.pending_events.push_back(PendingEvent::ReadAgain(connection)),
+            Effect::Write(connection, pieces) => self.write(connection, pieces),
+            Effect::Send(connection, pieces, answer_due) => {
+                self.write_unless_ended(connection, pieces, answer_due);
+            }
+            Effect::Finish(connection) => {
+                if let Some(socket) = self.socket(connection) {
+                    socket.shut_down_writing();
+                }
+            }
+            Effect::Close(connection) => {
+                self.remove_socket(connection);
+                // The id may be reused, so what was to be reported of this connection is void.
+                self.pending_events.retain(|event| event.connection() != connection);
+            }
+            Effect::Part(connection) => {
+                // What has come in, an end too, is handled when the loop reads it.
+                if self.unread(connection) == Some(Unread::Nothing) {
+                    self.close_and_report(connection);
+                }
+            }
+            Effect::Break(connection) => self.close_and_report(connection),
+            Effect::Timer(wake_at) => self.wake_at = wake_at,
+            Effect::Report(lines) => print_to_stderr(&lines),
+            Effect::Exit => self.exit = ExitState::Requested,
+        }
+    }
+
+    fn connect(&mut self, connection: ConnectionId, address: SocketAddr) {
+        match start_connecting(address) {
+            Ok(stream) => self.register(connection, stream, ConnectState::Connecting),
+            Err(_) => self.report_unopened(connection),
+        }
+    }
+
+    fn write(&mut self, connection: ConnectionId, pieces: Vec<Piece>) {
+        if let Some(socket) = self.socket_mut(connection) {
+            socket.queue_output(pieces);
+            self.write_queued(connection);
+        }
+    }
+
+    /// Writes, unless the peer has closed or has sent something though no answer was due: then it closes.
+    fn write_unless_ended(&mut self, connection: ConnectionId, pieces: Vec<Piece>, answer_due: bool) {
+        match self.unread(connection) {
+            Some(Unread::End) => self.close_and_report(connection),
+            Some(Unread::Bytes) if !answer_due => self.close_and_report(connection),
+            _ => self.write(connection, pieces),
+        }
+    }
+
+    /// Writes what is queued on a connection as far as the socket takes it.
+    pub(super) fn write_queued(&mut self, connection: ConnectionId) {
+        let Some(socket) = self.socket_mut(connection) else { return };
+        match socket.write_queued() {
+            WriteOutcome::Flushed => self.pending_events.push_back(PendingEvent::Flushed(connection)),
+            // What came in before the connection broke is still read; its end is found there.
+            WriteOutcome::Failed => self.read_in_next_iteration(connection),
+            WriteOutcome::NothingQueued | WriteOutcome::WouldBlock => {}
+        }
+    }
+
+    /// What has come in on a connection and was not read yet; `None` if there is no such connection.
+    pub(super) fn unread(&self, connection: ConnectionId) -> Option<Unread> {
+        self.socket(connection).map(Socket::unread)
+    }
+
+    /// Has a connection read in the next iteration, although the system did not report it readable again.
+    pub(super) fn read_in_next_iteration(&mut self, connection: ConnectionId) {
+        self.ready.push((connection, Readiness { readable: true, writable: false, error: false }));
+    }
+
+    /// Closes a connection and has the router told of it, once.
+    pub(super) fn close_and_report(&mut self, connection: ConnectionId) {
+        if let Some(socket) = self.remove_socket(connection) {
+            let written_bytes = socket.written_bytes();
+            self.pending_events.push_back(PendingEvent::Ended { connection, written_bytes });
+        }
+    }
+
+    /// Has the router told that a connection could not be opened.
+    fn report_unopened(&mut self, connection: ConnectionId) {
+        self.pending_events.push_back(PendingEvent::Ended { connection, written_bytes: 0 });
+    }
+
+    fn remove_socket(&mut self, connection: ConnectionId) -> Option<Socket> {
+        let socket = self.sockets.get_mut(connection)?.take()?;
+        self.handle.remove(socket.token());
+        Some(socket)
+    }
+
+    /// Has the event loop watch a stream under the id that the router gave it.
+    fn register(&mut self, connection: ConnectionId, stream: TcpStream, state: ConnectState) {
+        let stream = Rc::new(stream);
+        let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
+        let token = self.handle.insert_source(source, move |readiness, _, server: &mut Server| {
+            server.ready.push((connection, readiness));
+            Ok(PostAction::Continue)
+        });
+        let Ok(token) = token else {
+            return self.report_unopened(connection);
+        };
+        if self.sockets.len() <= connection {
+            self.sockets.resize_with(connection + 1, || None);
+        }
+        self.sockets[connection] = Some(Socket::new(stream, token, state));
+    }
+}
--- /dev/null
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -0,0 +1,117 @@
+//! The listening socket for clients. It is paused while an accepted stream waits for a free place, and for a short
+//! time after accepting failed.
+
+use super::ServeError;
+use super::clock::Clock;
+use balancer::Micros;
+use calloop::generic::Generic;
+use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
+use std::collections::VecDeque;
+use std::io::ErrorKind;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+
+/// How long the listener is paused after accepting failed.
+const ACCEPT_PAUSE: Micros = 100_000;
+
+/// What an attempt to accept a connection came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum AcceptOutcome {
+    /// A stream was accepted and queued.
+    Accepted,
+    /// No client is waiting.
+    NoneWaiting,
+    /// The system refused, for example for want of file descriptors.
+    Failed,
+}
+
+/// The listener and the streams accepted from it that the router has not taken yet.
+pub(super) struct ClientListener {
+    listener: Rc<TcpListener>,
+    token: RegistrationToken,
+    /// Whether the event loop watches the listener.
+    enabled: bool,
+    /// Until when the listener stays paused because accepting failed; 0 if it did not fail last time.
+    retry_at: Micros,
+    accepted: VecDeque<TcpStream>,
+}
+
+impl ClientListener {
+    /// Listens on `address` and has the event loop call `on_pending` when a client is waiting.
+    pub(super) fn bind<D: 'static>(
+        address: SocketAddr, handle: &LoopHandle<'static, D>, on_pending: impl Fn(&mut D) + 'static,
+    ) -> Result<ClientListener, ServeError> {
+        let listener =
+            listen_non_blocking(address).map_err(|source| ServeError::Listen { address, source })?;
+        let listener = Rc::new(listener);
+        let source = Generic::new(listener.clone(), Interest::READ, Mode::Level);
+        let token = handle
+            .insert_source(source, move |_, _, data| {
+                on_pending(data);
+                Ok(PostAction::Continue)
+            })
+            .map_err(|insert| ServeError::RegisterListener(insert.error))?;
+        Ok(ClientListener { listener, token, enabled: true, retry_at: 0, accepted: VecDeque::new() })
+    }
+
+    /// The address that the listener is bound to, with the port that the system chose if none was configured.
+    pub(super) fn local_address(&self) -> Result<SocketAddr, ServeError> {
+        self.listener.local_addr().map_err(ServeError::ListenerAddress)
+    }
+
+    /// Whether an accepted stream waits for the router to take it.
+    pub(super) fn has_accepted(&self) -> bool {
+        !self.accepted.is_empty()
+    }
+
+    /// The stream that was accepted first.
+    pub(super) fn take_accepted(&mut self) -> Option<TcpStream> {
+        self.accepted.pop_front()
+    }
+
+    /// Accepts the next client that is waiting and queues its stream.
+    pub(super) fn accept_next(&mut self, clock: &Clock) -> AcceptOutcome {
+        loop {
+            match self.listener.accept() {
+                Ok((stream, _)) => {
+                    self.retry_at = 0;
+                    if stream.set_nonblocking(true).is_ok() {
+                        let _ = stream.set_nodelay(true);
+                        self.accepted.push_back(stream);
+                        return AcceptOutcome::Accepted;
+                    }
+                }
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return AcceptOutcome::NoneWaiting,
+                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(e) => {
+                    if self.retry_at == 0 {
+                        tracing::warn!(error = %e, "accepting fails, clients wait");
+                    }
+                    self.retry_at = clock.now() + ACCEPT_PAUSE;
+                    return AcceptOutcome::Failed;
+                }
+            }
+        }
+    }
+
+    /// When the paused listener is to be resumed; `None` if it is not paused, or until the accepted stream is taken.
+    pub(super) fn resume_at(&self) -> Option<Micros> {
+        (!self.enabled && self.accepted.is_empty()).then_some(self.retry_at)
+    }
+
+    /// Stops the event loop from watching the listener.
+    pub(super) fn pause<D>(&mut self, handle: &LoopHandle<'static, D>) {
+        self.enabled = handle.disable(&self.token).is_err();
+    }
+
+    /// Has the event loop watch the listener again.
+    pub(super) fn resume<D>(&mut self, handle: &LoopHandle<'static, D>) {
+        self.enabled = handle.enable(&self.token).is_ok();
+    }
+}
+
+fn listen_non_blocking(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let listener = TcpListener::bind(address)?;
+    listener.set_nonblocking(true)?;
+    Ok(listener)
+}
--- /dev/null
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -0,0 +1,254 @@
+//! One non-blocking connection with its buffers. It reports what the system said; what follows from that is decided
+//! elsewhere.
+
+use crate::io::Piece;
+use crate::protocol::http::MAX_REQUEST_BYTES;
+use calloop::RegistrationToken;
+use rustix::io::Errno;
+use rustix::net::{self, AddressFamily, SocketFlags, SocketType};
+use std::collections::VecDeque;
+use std::io::{ErrorKind, IoSlice, Read, Write};
+use std::net::{Shutdown, SocketAddr, TcpStream};
+use std::rc::Rc;
+
+/// The capacity in bytes above which an empty input buffer is freed.
+const MAX_IDLE_INPUT_CAPACITY: usize = 4096;
+/// How many pieces go out in one gathered write.
+const MAX_PIECES_PER_WRITE: usize = 64;
+
+/// How far a connection is established.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectState {
+    /// The connection was asked for and is not established yet.
+    Connecting,
+    /// Bytes may be read and written.
+    Connected,
+}
+
+/// What became of a connection that was being established.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectProgress {
+    /// Nothing is known yet.
+    Pending,
+    /// The connection is established.
+    Connected,
+    /// The connection failed.
+    Failed,
+}
+
+/// What one read came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ReadOutcome {
+    /// Bytes were added to the input buffer.
+    Received,
+    /// The peer closed its side in order.
+    EndOfStream,
+    /// Nothing more has come in.
+    WouldBlock,
+    /// The input buffer is full; nothing was read.
+    BufferFull,
+    /// A signal interrupted the read; it may be repeated at once.
+    Interrupted,
+    /// The connection is broken.
+    Failed,
+}
+
+/// What writing the queued output came to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum WriteOutcome {
+    /// Nothing was queued.
+    NothingQueued,
+    /// All that was queued is written.
+    Flushed,
+    /// The socket takes no more at present.
+    WouldBlock,
+    /// The connection is broken; the queued output is discarded.
+    Failed,
+}
+
+/// What the system holds of a connection that was not read yet.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Unread {
+    /// Nothing has come in.
+    Nothing,
+    /// Some bytes have come in.
+    Bytes,
+    /// The end of the connection, in order or by an error.
+    End,
+}
+
+/// A connection with its input and output buffers.
+pub(super) struct Socket {
+    stream: Rc<TcpStream>,
+    token: RegistrationToken,
+    state: ConnectState,
+    /// Whether the last read stopped because the input buffer was full.
+    input_full: bool,
+    input: Vec<u8>,
+    output: VecDeque<Piece>,
+    /// How many bytes of the first output piece are written.
+    piece_offset: usize,
+    written_bytes: u64,
+}
+
+impl Socket {
+    /// Wraps a stream that is registered with the event loop under `token`.
+    pub(super) fn new(stream: Rc<TcpStream>, token: RegistrationToken, state: ConnectState) -> Socket {
+        Socket {
+            stream,
+            token,
+            state,
+            input_full: false,
+            input: Vec::new(),
+            output: VecDeque::new(),
+            piece_offset: 0,
+            written_bytes: 0,
+        }
+    }
+
+    /// The registration with the event loop.
+    pub(super) fn token(&self) -> RegistrationToken {
+        self.token
+    }
+
+    /// Whether the connection is established.
+    pub(super) fn is_connected(&self) -> bool {
+        self.state == ConnectState::Connected
+    }
+
+    /// Whether the last read stopped because the input buffer was full.
+    pub(super) fn is_input_full(&self) -> bool {
+        self.input_full
+    }
+
+    /// The bytes that were received and not consumed.
+    pub(super) fn input(&self) -> &[u8] {
+        &self.input
+    }
+
+    /// How many bytes were written in all.
+    pub(super) fn written_bytes(&self) -> u64 {
+        self.written_bytes
+    }
+
+    /// Asks the system whether the connection was established, and remembers it if so.
+    pub(super) fn finish_connecting(&mut self) -> ConnectProgress {
+        if !matches!(self.stream.take_error(), Ok(None)) {
+            return ConnectProgress::Failed;
+        }
+        if self.stream.peer_addr().is_err() {
+            return ConnectProgress::Pending;
+        }
+        self.state = ConnectState::Connected;
+        ConnectProgress::Connected
+    }
+
+    /// Reads once through `buffer` into the input buffer, unless that is full.
+    pub(super) fn read(&mut self, buffer: &mut [u8]) -> ReadOutcome {
+        self.input_full = self.input.len() >= MAX_REQUEST_BYTES;
+        if self.input_full {
+            return ReadOutcome::BufferFull;
+        }
+        match (&*self.stream).read(buffer) {
+            Ok(0) => ReadOutcome::EndOfStream,
+            Ok(count) => {
+                self.input.extend_from_slice(&buffer[..count]);
+                ReadOutcome::Received
+            }
+            Err(e) if e.kind() == ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
+            Err(e) if e.kind() == ErrorKind::Interrupted => ReadOutcome::Interrupted,
+            Err(_) => ReadOutcome::Failed,
+        }
+    }
+
+    /// Removes the first `count` bytes of the input.
+    pub(super) fn consume_input(&mut self, count: usize) {
+        self.input.drain(..count);
+        if self.input.is_empty() && self.input.capacity() > MAX_IDLE_INPUT_CAPACITY {
+            self.input = Vec::new();
+        }
+    }
+
+    /// Looks at what has come in without reading it.
+    pub(super) fn unread(&self) -> Unread {
+        match self.stream.peek(&mut [0]) {
+            Err(e) if e.kind() == ErrorKind::WouldBlock => Unread::Nothing,
+            Ok(count) if count > 0 => Unread::Bytes,
+            Ok(_) | Err(_) => Unread::End,
+        }
+    }
+
+    /// Adds pieces to what is to be written.
+    pub(super) fn queue_output(&mut self, pieces: Vec<Piece>) {
+        self.output.extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
+    }
+
+    /// Writes until nothing is queued or the socket takes no more.
+    pub(super) fn write_queued(&mut self) -> WriteOutcome {
+        if self.output.is_empty() {
+            return WriteOutcome::NothingQueued;
+        }
+        while !self.output.is_empty() {
+            match self.write_once() {
+                Ok(count) => self.discard_written(count),
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return WriteOutcome::WouldBlock,
+                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(_) => {
+                    self.output.clear();
+                    return WriteOutcome::Failed;
+                }
+            }
+        }
+        WriteOutcome::Flushed
+    }
+
+    fn write_once(&self) -> std::io::Result<usize> {
+        let pieces = self.output.iter().take(MAX_PIECES_PER_WRITE).enumerate();
+        let unwritten =
+            pieces.map(|(i, piece)| if i == 0 { &piece[self.piece_offset..] } else { &piece[..] });
+        let slices: Vec<IoSlice> = unwritten.map(IoSlice::new).collect();
+        (&*self.stream).write_vectored(&slices)
+    }
+
+    /// Removes `count` written bytes from the front of the output.
+    fn discard_written(&mut self, mut count: usize) {
+        self.written_bytes += count as u64;
+        while let Some(piece) = self.output.front() {
+            let unwritten = piece.len() - self.piece_offset;
+            if count < unwritten {
+                self.piece_offset += count;
+                return;
+            }
+            count -= unwritten;
+            self.piece_offset = 0;
+            self.output.pop_front();
+        }
+    }
+
+    /// Closes the writing side; the peer may still send.
+    pub(super) fn shut_down_writing(&self) {
+        let _ = self.stream.shutdown(Shutdown::Write);
+    }
+
+    /// The address of the peer, for tests.
+    #[cfg(test)]
+    pub(super) fn peer_address(&self) -> Option<SocketAddr> {
+        self.stream.peer_addr().ok()
+    }
+}
+
+/// Begins to connect to `address`; the stream becomes writable once it is connected or has failed.
+///
+/// # Errors
+///
+/// What the system says if it refuses at once.
+pub(super) fn start_connecting(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    let stream = TcpStream::from(net::socket_with(family, SocketType::STREAM, flags, None)?);
+    stream.set_nodelay(true)?;
+    match net::connect(&stream, &address) {
+        Ok(()) | Err(Errno::INPROGRESS) => Ok(stream),
+        Err(e) => Err(e.into()),
+    }
+}
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -1,21 +1,26 @@
-//! The loop on real connections, its turns taken by hand: what comes between two of its lines comes there each time.
+//! The event loop on real connections. The tests run its iterations one by one, so that an event between two steps comes
+//! there each time.
 
+use super::socket::Unread;
 use super::*;
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Instant;
 
-/// How long a test waits for what must come, before it fails.
-const AT_MOST: Duration = Duration::from_secs(30);
+/// How long a test waits for something before it fails.
+const MAX_WAIT: Duration = Duration::from_secs(30);
 
-struct Rig {
-    events: EventLoop<'static, Server>,
+struct TestRouter {
+    event_loop: EventLoop<'static, Server>,
     server: Server,
-    at: SocketAddr,
+    address: SocketAddr,
     node: TcpListener,
     _discovery: TcpListener,
 }
 
-impl Rig {
-    /// A router that holds one node, before a discovery that says nothing.
-    fn new() -> Rig {
+impl TestRouter {
+    /// A router that knows one node, with a discovery that never answers.
+    fn new() -> TestRouter {
         let listener = || TcpListener::bind("127.0.0.1:0").expect("a port");
         let (node, discovery) = (listener(), listener());
         let address = |listener: &TcpListener| listener.local_addr().expect("an address");
@@ -32,53 +37,53 @@
                 "services": [
                     {"name": "pay", "idempotency": "non_idempotent", "deadlineNs": 20_000_000_000u64}]}});
         let config = Config::parse(&config.to_string()).expect("a configuration");
-        let signals = heed_signals().expect("signals");
-        let (events, server) = start(signals, config, String::new()).expect("it starts");
-        let at = server.listener.local_addr().expect("an address");
-        Rig { events, server, at, node, _discovery: discovery }
+        let signals = install_signal_handlers().expect("signals");
+        let (event_loop, server) = start(signals, config, String::new()).expect("it starts");
+        let address = server.listener.local_address().expect("an address");
+        TestRouter { event_loop, server, address, node, _discovery: discovery }
     }
 
-    /// Takes turns until something holds.
-    fn until(&mut self, what: &str, holds: impl Fn(&Rig) -> bool) {
-        let since = Instant::now();
-        while !holds(self) {
-            assert!(since.elapsed() < AT_MOST, "{what}");
-            self.events.dispatch(Some(Duration::from_millis(5)), &mut self.server).expect("a turn");
-            self.server.turn();
+    /// Runs iterations until a condition holds.
+    fn run_until(&mut self, failure: &str, condition: impl Fn(&TestRouter) -> bool) {
+        let started = Instant::now();
+        while !condition(self) {
+            assert!(started.elapsed() < MAX_WAIT, "{failure}");
+            self.event_loop.dispatch(Some(Duration::from_millis(5)), &mut self.server).expect("events");
+            self.server.run_iteration();
         }
     }
 
     fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.at).expect("a connection")
+        TcpStream::connect(self.address).expect("a connection")
     }
 
     /// The next connection to the node, while the router goes on.
-    fn accept(&mut self) -> TcpStream {
+    fn accept_at_node(&mut self) -> TcpStream {
         self.node.set_nonblocking(true).expect("a mode");
-        let came = std::cell::RefCell::new(None);
-        self.until("nobody connects to the node", |rig| {
-            *came.borrow_mut() = rig.node.accept().ok();
-            came.borrow().is_some()
+        let accepted = std::cell::RefCell::new(None);
+        self.run_until("nobody connects to the node", |router| {
+            *accepted.borrow_mut() = router.node.accept().ok();
+            accepted.borrow().is_some()
         });
-        let (stream, _) = came.into_inner().expect("a connection");
+        let (stream, _) = accepted.into_inner().expect("a connection");
         stream.set_nonblocking(false).expect("a mode");
-        stream.set_read_timeout(Some(AT_MOST)).expect("a time");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("a timeout");
         stream
     }
 
-    /// Reads a frame, which the router has written or will write.
-    fn frame(&mut self, stream: &mut TcpStream) -> String {
-        self.until("no frame comes", |_| came(stream));
+    /// Reads the payload of a frame that the router has written or will write.
+    fn read_frame(&mut self, stream: &mut TcpStream) -> String {
+        self.run_until("no frame comes", |_| has_unread(stream));
         let mut head = [0; 5];
         stream.read_exact(&mut head).expect("a head");
-        let mut rest = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 1];
-        stream.read_exact(&mut rest).expect("a whole frame");
-        String::from_utf8(rest).expect("text")
+        let mut payload = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 1];
+        stream.read_exact(&mut payload).expect("a complete frame");
+        String::from_utf8(payload).expect("text")
     }
 
-    /// The first line of the next answer, which is read whole.
-    fn answer(&mut self, client: &mut TcpStream) -> String {
-        self.until("no answer comes", |_| came(client));
+    /// Reads the next response and returns its status line.
+    fn read_response(&mut self, client: &mut TcpStream) -> String {
+        self.run_until("no response comes", |_| has_unread(client));
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -91,14 +96,26 @@
         client.read_exact(&mut vec![0; length]).expect("a body");
         head.lines().next().unwrap_or_default().to_string()
     }
+
+    /// The router's id of its connection with this peer.
+    fn connection_to(&self, peer: SocketAddr) -> ConnectionId {
+        let has_peer = |socket: &Option<Socket>| {
+            socket.as_ref().is_some_and(|socket| socket.peer_address() == Some(peer))
+        };
+        self.server.sockets.iter().position(has_peer).expect("a connection")
+    }
+
+    fn has_received(&self, connection: ConnectionId) -> bool {
+        !matches!(self.server.unread(connection), None | Some(Unread::Nothing))
+    }
 }
 
-/// Whether something came in that was not read, or the end.
-fn came(stream: &TcpStream) -> bool {
+/// Whether bytes or the end have come in that were not read.
+fn has_unread(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("a mode");
-    let came = stream.peek(&mut [0]).is_ok();
+    let unread = stream.peek(&mut [0]).is_ok();
     stream.set_nonblocking(false).expect("a mode");
-    came
+    unread
 }
 
 fn query(id: &str) -> String {
@@ -109,69 +126,63 @@
     )
 }
 
-fn frame(letter: u8, rest: &str) -> Vec<u8> {
-    [&crate::protocol::frames::head(letter, rest.len())[..], rest.as_bytes()].concat()
+fn frame(letter: u8, payload: &str) -> Vec<u8> {
+    [&crate::protocol::frames::head(letter, payload.len())[..], payload.as_bytes()].concat()
 }
 
 #[test]
-fn a_client_that_connects_while_the_end_is_decided_is_answered() {
-    let mut rig = Rig::new();
-    rig.server.tell(Event::Terminate);
-    // The turn in which all that rests is closed: nobody is here, so the router asks for its end.
-    let due = |rig: &Rig| rig.server.timer.is_some_and(|at| at <= rig.server.clock.now());
-    while !due(&rig) {
-        let wait = rig.server.wait();
-        rig.events.dispatch(wait, &mut rig.server).expect("a turn");
-        if !due(&rig) {
-            rig.server.turn();
+fn client_that_connects_while_the_exit_is_decided_is_answered() {
+    let mut router = TestRouter::new();
+    router.server.report_event(Event::Terminate);
+    // Runs up to the iteration in which idle connections are closed: there is no client, so the router asks to exit.
+    let is_due =
+        |router: &TestRouter| router.server.wake_at.is_some_and(|at| at <= router.server.clock.now());
+    while !is_due(&router) {
+        let timeout = router.server.poll_timeout();
+        router.event_loop.dispatch(timeout, &mut router.server).expect("events");
+        if !is_due(&router) {
+            router.server.run_iteration();
         }
     }
-    let mut client = rig.connect();
+    let mut client = router.connect();
     client.write_all(b"GET /-/ready HTTP/1.1\r\n\r\n").expect("it is read");
-    rig.server.knocked = false;
-    rig.server.turn();
-    assert!(!rig.server.done, "the end would reset a client that is connected");
-    assert_eq!(rig.answer(&mut client), "HTTP/1.1 503 Service Unavailable");
+    router.server.accept_pending = false;
+    router.server.run_iteration();
+    assert!(router.server.exit != ExitState::Done, "exiting would reset a client that is connected");
+    assert_eq!(router.read_response(&mut client), "HTTP/1.1 503 Service Unavailable");
     drop(client);
-    rig.until("it never ends", |rig| rig.server.done);
+    router.run_until("it never exits", |router| router.server.exit == ExitState::Done);
 }
 
 #[test]
-fn a_call_does_not_go_out_behind_a_nodes_last_word() {
+fn batch_is_not_sent_after_a_node_announced_that_it_closes() {
     // What has come when the loop last looked is read first; this comes after that look.
-    for last in [frame(b'N', "that was none"), frame(b'Y', "t1.0 OK 5 -\ntwice")[..9].to_vec()] {
-        let mut rig = Rig::new();
-        let mut client = rig.connect();
+    let half_frame = frame(b'Y', "t1.0 OK 5 -\ntwice")[..9].to_vec();
+    for last_bytes in [frame(b'N', "that was none"), half_frame] {
+        let mut router = TestRouter::new();
+        let mut client = router.connect();
         client.write_all(query("t1").as_bytes()).expect("it is read");
-        let mut first = rig.accept();
-        assert!(rig.frame(&mut first).starts_with("t1.0 "));
+        let mut first = router.accept_at_node();
+        assert!(router.read_frame(&mut first).starts_with("t1.0 "));
         first.write_all(&frame(b'Y', "t1.0 OK 5 -\none")).expect("it is read");
-        assert_eq!(rig.answer(&mut client), "HTTP/1.1 200 OK");
-        let served = |rig: &Rig, at: SocketAddr| {
-            let is = |socket: &Socket| socket.stream.peer_addr().is_ok_and(|peer| peer == at);
-            rig.server
-                .sockets
-                .iter()
-                .position(|socket| socket.as_ref().is_some_and(is))
-                .expect("a connection")
-        };
-        let asks = served(&rig, client.local_addr().expect("an address"));
-        let link = served(&rig, rig.node.local_addr().expect("an address"));
-        first.write_all(&last).expect("it is read");
+        assert_eq!(router.read_response(&mut client), "HTTP/1.1 200 OK");
+        let client_connection = router.connection_to(client.local_addr().expect("an address"));
+        let node_connection = router.connection_to(router.node.local_addr().expect("an address"));
+        first.write_all(&last_bytes).expect("it is read");
         client.write_all(query("t2").as_bytes()).expect("it is read");
-        while rig.server.unread(link).is_none() || rig.server.unread(asks).is_none() {
+        while !router.has_received(node_connection) || !router.has_received(client_connection) {
             std::thread::yield_now();
         }
-        rig.server.read_next(asks);
-        rig.server.turn();
-        let mut second = rig.accept();
-        assert!(rig.frame(&mut second).starts_with("t2.0 "));
+        router.server.read_in_next_iteration(client_connection);
+        router.server.run_iteration();
+        let mut second = router.accept_at_node();
+        assert!(router.read_frame(&mut second).starts_with("t2.0 "));
         second.write_all(&frame(b'Y', "t2.0 OK 5 -\ntwo")).expect("it is read");
-        assert_eq!(rig.answer(&mut client), "HTTP/1.1 200 OK");
+        assert_eq!(router.read_response(&mut client), "HTTP/1.1 200 OK");
         let mut rest = Vec::new();
-        // It was closed over what it had not read: a reset is an end too.
+        // The router closed it with unread bytes: a reset is an end too.
         let _ = first.read_to_end(&mut rest);
         assert_eq!(rest, b"");
-        assert_eq!(rig.server.router.desk.counters.attempts_not_sent, 1);
+        assert_eq!(router.server.router.desk.counters.attempts_not_sent, 1);
     }
 }
--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -16,4 +16,4 @@
 mod reducer;
 mod scatter;
 
-pub use event_loop::{Heeded, heed_signals, serve};
+pub use event_loop::{ServeError, SignalSource, install_signal_handlers, serve};
