--- a/crates/query-router/src/protocol/frames/tests.rs
+++ b/crates/query-router/src/protocol/frames/tests.rs
@@ -1,38 +1,52 @@
-//! Frames: what is read of their bytes, and what is refused.
+//! Frames: what is read of their bytes, and what is rejected.
 
 use super::*;
 
+const SUCCEEDED: AttemptOutcome = AttemptOutcome::Succeeded;
+
 #[test]
-fn a_frame_is_read_once_its_last_byte_is_in() {
-    let rest = b"t.3 OK 17 inflight=7\nvalue";
-    let bytes: Vec<u8> = head(b'Y', rest.len()).into_iter().chain(*rest).chain([0, 0]).collect();
-    for end in 0..4 + 1 + rest.len() {
-        assert_eq!(read(&bytes[..end]), Read::More, "{end} bytes");
+fn frame_is_read_once_its_last_byte_is_in() {
+    let payload = b"t.3 OK 17 inflight=7\nvalue";
+    let bytes: Vec<u8> = head(b'Y', payload.len()).into_iter().chain(*payload).chain([0, 0]).collect();
+    for end in 0..4 + 1 + payload.len() {
+        assert_eq!(parse(&bytes[..end]), Ok(None), "{end} bytes");
     }
-    assert_eq!(read(&bytes), Read::Frame(b'Y', rest, 5 + rest.len()));
-    assert_eq!(answer(rest), Some(("t.3", AttemptOutcome::Succeeded, &b"inflight=7"[..], "value")));
+    let frame = Frame { kind: FrameKind::Response, payload, encoded_length: 5 + payload.len() };
+    assert_eq!(parse(&bytes), Ok(Some(frame)));
+    let response =
+        ShardResponse { id: "t.3", outcome: SUCCEEDED, load_report: b"inflight=7", value: "value" };
+    assert_eq!(ShardResponse::parse(payload), Ok(response));
 }
 
 #[test]
-fn what_is_no_frame_or_no_answer_is_known() {
-    assert_eq!(read(&[0, 0, 0, 0, 1]), Read::Bad);
-    assert_eq!(read(&[0x10, 0, 0, 0]), Read::Bad);
-    for rest in ["t.3 OK 17 -", "t.3 MAYBE 17 -\n", "t.3  17 -\n", "t.3 OK 17\n", "t.3 OK x -\n"] {
-        assert_eq!(answer(rest.as_bytes()), None, "{rest}");
+fn malformed_frames_and_responses_are_rejected() {
+    assert_eq!(parse(&[0, 0, 0, 0, 1]), Err(FrameError::InvalidLength(0)));
+    assert_eq!(parse(&[0x10, 0, 0, 0]), Err(FrameError::InvalidLength(0x1000_0000)));
+    for (payload, part) in [
+        (&b"t.3 OK 17 -"[..], ResponsePart::Line),
+        (b"t.3 MAYBE 17 -\n", ResponsePart::Status),
+        (b"t.3  17 -\n", ResponsePart::Status),
+        (b"t.3 OK 17\n", ResponsePart::LoadReport),
+        (b"t.3 OK x -\n", ResponsePart::Score),
+        // Noise, and a frame that a length too great has swallowed.
+        (b"t.3 OK 1 -\n\xff", ResponsePart::Value),
+        (b"t.3 OK 1 -\nvalue\0\0\0\x09Yt.4 OK", ResponsePart::Value),
+    ] {
+        assert_eq!(ShardResponse::parse(payload), Err(FrameError::InvalidResponse(part)), "{payload:?}");
     }
-    // Noise, and a frame that a length too great has swallowed.
-    assert_eq!(answer(b"t.3 OK 1 -\n\xff"), None);
-    assert_eq!(answer(b"t.3 OK 1 -\nvalue\0\0\0\x09Yt.4 OK"), None);
     // Nothing more needs to come to know that it is of no use.
-    assert_eq!(read(&[0, 0, 0, 9, 1]), Read::Bad);
-    assert_eq!(read(&[&[0, 1, 0, 0, b'Y'], &[b'x'; MOST_LINE][..]].concat()), Read::Bad);
-    assert_eq!(read(&[&[0, 1, 0, 0, b'Y'], &b"x\n".repeat(MOST_LINE)[..]].concat()), Read::More);
+    assert_eq!(parse(&[0, 0, 0, 9, 1]), Err(FrameError::UnknownKind(1)));
+    let endless_line = [&[0, 1, 0, 0, b'Y'], &[b'x'; MAX_LINE_BYTES][..]].concat();
+    assert_eq!(parse(&endless_line), Err(FrameError::LineTooLong));
+    let short_lines = [&[0, 1, 0, 0, b'Y'], &b"x\n".repeat(MAX_LINE_BYTES)[..]].concat();
+    assert_eq!(parse(&short_lines), Ok(None));
 }
 
 #[test]
-fn an_answer_is_good_whatever_its_report_holds() {
-    for report in [&b"%%%"[..], b"=,=", b"nan", b"\xff\xfe", b"a=1 b=2"] {
-        let rest = [b"t.3 OK 17 ", report, b"\nvalue"].concat();
-        assert_eq!(answer(&rest), Some(("t.3", AttemptOutcome::Succeeded, report, "value")));
+fn response_is_usable_whatever_its_load_report_holds() {
+    for load_report in [&b"%%%"[..], b"=,=", b"nan", b"\xff\xfe", b"a=1 b=2"] {
+        let payload = [b"t.3 OK 17 ", load_report, b"\nvalue"].concat();
+        let response = ShardResponse { id: "t.3", outcome: SUCCEEDED, load_report, value: "value" };
+        assert_eq!(ShardResponse::parse(&payload), Ok(response));
     }
 }
--- a/crates/query-router/src/protocol/query_request.rs
+++ b/crates/query-router/src/protocol/query_request.rs
@@ -1,4 +1,4 @@
-//! A client's query: its fields checked one by one before the module hears of it.
+//! The body and headers of a client's query, checked field by field before the balancer is told of it.
 
 #[cfg(test)]
 mod tests;
@@ -7,67 +7,161 @@
 use balancer::Micros;
 use serde_json::Value as Json;
 
-/// One part of a query: its shard, its share of the answer, and a rough figure for its work.
-pub type Segment = (usize, f64, Micros);
-
 /// How far the shares of an answer may be from adding up to 1.
-const ROUNDING: f64 = 0.01;
+const WEIGHT_TOLERANCE: f64 = 0.01;
+/// The longest `X-Trace-Id`, in bytes.
+const MAX_TRACE_ID_BYTES: usize = 128;
+
+/// One shard that a query asks for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RequestedShard {
+    /// The index of the shard.
+    pub shard: usize,
+    /// Its share of the answer, from 0 to 1.
+    pub weight: f64,
+    /// A rough figure for its work, in microseconds; 0 if not stated.
+    pub work: Micros,
+}
 
-/// What a query asks for, as indices and figures.
-#[derive(Debug, PartialEq)]
-pub struct Query {
+/// What a query asks for, with names resolved to indices.
+#[derive(Clone, Debug, PartialEq)]
+pub struct QueryRequest {
+    /// The index of the service class.
     pub class: usize,
+    /// The index of the tenant; 0 where no tenants are configured.
     pub tenant: usize,
+    /// How long an answer is of use, in microseconds from the arrival.
     pub deadline: Micros,
-    pub segments: Vec<Segment>,
+    /// The shards asked for, each once.
+    pub shards: Vec<RequestedShard>,
+    /// The text that goes to every shard.
     pub text: String,
 }
 
+/// Why a query cannot be understood. Its text is the body of the response that the client gets.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum QueryRequestError {
+    /// `X-Trace-Id` is missing, too long or not printable ASCII.
+    #[error("X-Trace-Id is missing or not a plain word")]
+    InvalidTraceId,
+    /// `X-Qos` names no configured service class.
+    #[error("X-Qos names no known service class")]
+    UnknownServiceClass,
+    /// `X-Customer` names no configured tenant.
+    #[error("X-Customer names no known customer")]
+    UnknownTenant,
+    /// `X-Expires-In-Ms` is not a positive number.
+    #[error("X-Expires-In-Ms is missing or not a positive whole number")]
+    InvalidDeadline,
+    /// The body is not JSON.
+    #[error("the body is not JSON")]
+    NotJson,
+    /// `segments` is missing, empty or not a list.
+    #[error("segments is missing or not a list of parts")]
+    InvalidSegments,
+    /// A `segment` is not the index of a shard.
+    #[error("a segment's number names no known shard")]
+    UnknownShard,
+    /// A shard is asked for twice.
+    #[error("a segment is named twice")]
+    DuplicateShard,
+    /// A `boost` is not a number from 0 to 1.
+    #[error("a segment's boost is missing or not a share")]
+    InvalidWeight,
+    /// A `work` is not a positive number or 0.
+    #[error("a segment's work is not a time")]
+    InvalidWork,
+    /// The weights do not add up to 1.
+    #[error("the segments' boosts do not add up to 1")]
+    InvalidTotalWeight,
+    /// `text` is missing or not a string.
+    #[error("text is missing or not a text")]
+    InvalidText,
+}
+
 /// The names and the number of shards that queries are checked against.
 #[derive(Debug, Default)]
 pub struct QueryVocabulary {
+    /// The names of the service classes, in the order of their indices.
     pub classes: Vec<String>,
+    /// The names of the tenants, in the order of their indices; empty if queries name none.
     pub tenants: Vec<String>,
+    /// The number of shards.
     pub shards: usize,
 }
 
 impl QueryVocabulary {
-    pub fn query(&self, request: &Request) -> Result<Query, &'static str> {
-        let id = request.id;
-        if id.is_empty() || id.len() > 128 || !id.bytes().all(|b| b.is_ascii_graphic()) {
-            return Err("X-Trace-Id is missing or not a plain word");
-        }
-        let known = |names: &[String], name: &str| names.iter().position(|n| n == name);
-        let class = known(&self.classes, request.class).ok_or("X-Qos names no known service class")?;
-        let tenant = if self.tenants.is_empty() { Some(0) } else { known(&self.tenants, request.tenant) };
-        let tenant = tenant.ok_or("X-Customer names no known customer")?;
-        let digits = request.deadline.bytes().all(|b| b.is_ascii_digit());
-        let deadline: Option<u32> = request.deadline.parse().ok().filter(|&ms| ms > 0 && digits);
-        let deadline = deadline.ok_or("X-Expires-In-Ms is missing or not a positive whole number")?;
-        let json: Json = serde_json::from_slice(&request.body).map_err(|_| "the body is not JSON")?;
-        let list = json["segments"].as_array().filter(|list| !list.is_empty());
-        let mut segments: Vec<Segment> = Vec::new();
-        for segment in list.ok_or("segments is missing or not a list of parts")? {
-            let shard = segment["segment"].as_u64().filter(|&s| s < self.shards as u64);
-            let shard = shard.ok_or("a segment's number names no known shard")? as usize;
-            if segments.iter().any(|s| s.0 == shard) {
-                return Err("a segment is named twice");
+    /// Reads the query in a request.
+    ///
+    /// # Errors
+    ///
+    /// The [`QueryRequestError`] of the first field that cannot be used.
+    pub fn parse(&self, request: &Request) -> Result<QueryRequest, QueryRequestError> {
+        check_trace_id(request.trace_id)?;
+        let class = index_of(&self.classes, request.service_class);
+        let class = class.ok_or(QueryRequestError::UnknownServiceClass)?;
+        let tenant = if self.tenants.is_empty() { Some(0) } else { index_of(&self.tenants, request.tenant) };
+        let tenant = tenant.ok_or(QueryRequestError::UnknownTenant)?;
+        let deadline = parse_deadline(request.expires_in_ms)?;
+        let body: Json = serde_json::from_slice(&request.body).map_err(|_| QueryRequestError::NotJson)?;
+        let shards = self.parse_shards(&body["segments"])?;
+        let text = body["text"].as_str().ok_or(QueryRequestError::InvalidText)?.to_string();
+        Ok(QueryRequest { class, tenant, deadline, shards, text })
+    }
+
+    fn parse_shards(&self, segments: &Json) -> Result<Vec<RequestedShard>, QueryRequestError> {
+        let segments = segments.as_array().filter(|segments| !segments.is_empty());
+        let mut shards: Vec<RequestedShard> = Vec::new();
+        for segment in segments.ok_or(QueryRequestError::InvalidSegments)? {
+            let shard = self.parse_shard_index(&segment["segment"])?;
+            if shards.iter().any(|earlier| earlier.shard == shard) {
+                return Err(QueryRequestError::DuplicateShard);
             }
-            let boost = segment["boost"].as_f64().filter(|b| (0.0..=1.0).contains(b));
-            let boost = boost.ok_or("a segment's boost is missing or not a share")?;
-            let work = match &segment["work"] {
-                Json::Null => 0,
-                work => {
-                    work.as_f64().filter(|w| *w >= 0.0).ok_or("a segment's work is not a time")? as Micros
-                }
-            };
-            segments.push((shard, boost, work));
+            let weight = parse_weight(&segment["boost"])?;
+            let work = parse_work(&segment["work"])?;
+            shards.push(RequestedShard { shard, weight, work });
         }
-        let shares: f64 = segments.iter().map(|segment| segment.1).sum();
-        if (shares - 1.0).abs() > ROUNDING {
-            return Err("the segments' boosts do not add up to 1");
+        let total_weight: f64 = shards.iter().map(|shard| shard.weight).sum();
+        if (total_weight - 1.0).abs() > WEIGHT_TOLERANCE {
+            return Err(QueryRequestError::InvalidTotalWeight);
         }
-        let text = json["text"].as_str().ok_or("text is missing or not a text")?.to_string();
-        Ok(Query { class, tenant, deadline: Micros::from(deadline) * 1000, segments, text })
+        Ok(shards)
+    }
+
+    fn parse_shard_index(&self, value: &Json) -> Result<usize, QueryRequestError> {
+        let index = value.as_u64().filter(|&index| index < self.shards as u64);
+        Ok(index.ok_or(QueryRequestError::UnknownShard)? as usize)
+    }
+}
+
+fn check_trace_id(id: &str) -> Result<(), QueryRequestError> {
+    let is_word = id.bytes().all(|byte| byte.is_ascii_graphic());
+    if id.is_empty() || id.len() > MAX_TRACE_ID_BYTES || !is_word {
+        return Err(QueryRequestError::InvalidTraceId);
+    }
+    Ok(())
+}
+
+fn index_of(names: &[String], name: &str) -> Option<usize> {
+    names.iter().position(|known| known == name)
+}
+
+/// A positive number of milliseconds in digits alone, as microseconds.
+fn parse_deadline(text: &str) -> Result<Micros, QueryRequestError> {
+    let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
+    let milliseconds: Option<u32> = text.parse().ok().filter(|&ms| ms > 0 && only_digits);
+    Ok(Micros::from(milliseconds.ok_or(QueryRequestError::InvalidDeadline)?) * 1000)
+}
+
+fn parse_weight(value: &Json) -> Result<f64, QueryRequestError> {
+    let weight = value.as_f64().filter(|weight| (0.0..=1.0).contains(weight));
+    weight.ok_or(QueryRequestError::InvalidWeight)
+}
+
+fn parse_work(value: &Json) -> Result<Micros, QueryRequestError> {
+    if value.is_null() {
+        return Ok(0);
     }
+    let work = value.as_f64().filter(|&work| work >= 0.0);
+    Ok(work.ok_or(QueryRequestError::InvalidWork)? as Micros)
 }
--- a/crates/query-router/src/protocol/query_request/tests.rs
+++ b/crates/query-router/src/protocol/query_request/tests.rs
@@ -2,25 +2,35 @@
 
 use super::*;
 
-fn query(deadline: &str, body: &str) -> Result<Query, &'static str> {
-    let terms =
+fn parse(expires_in_ms: &str, body: &str) -> Result<QueryRequest, QueryRequestError> {
+    let vocabulary =
         QueryVocabulary { classes: vec!["look".into(), "pay".into()], tenants: Vec::new(), shards: 4 };
     let body = body.as_bytes().into();
-    terms.query(&Request { id: "t1", class: "pay", deadline, body, ..Default::default() })
+    vocabulary.parse(&Request {
+        trace_id: "t1",
+        service_class: "pay",
+        expires_in_ms,
+        body,
+        ..Default::default()
+    })
 }
 
 #[test]
-fn a_query_becomes_indices_and_figures() {
+fn query_is_read_as_indices_and_figures() {
     let body = r#"{"segments":[{"segment":3,"boost":0.25,"work":9000,"affinity":"0f"},
         {"segment":0,"boost":0.75}],"text":"c4\u00e9","new":1}"#;
-    let (segments, text) = (vec![(3, 0.25, 9000), (0, 0.75, 0)], "c4é".to_string());
-    assert_eq!(query("480", body), Ok(Query { class: 1, tenant: 0, deadline: 480_000, segments, text }));
+    let shards = vec![
+        RequestedShard { shard: 3, weight: 0.25, work: 9000 },
+        RequestedShard { shard: 0, weight: 0.75, work: 0 },
+    ];
+    let query = QueryRequest { class: 1, tenant: 0, deadline: 480_000, shards, text: "c4é".to_string() };
+    assert_eq!(parse("480", body), Ok(query));
 }
 
 #[test]
-fn what_a_query_lacks_is_named() {
+fn error_names_the_field_that_is_missing_or_wrong() {
     let body = |segments: &str| format!(r#"{{"segments":[{segments}],"text":"x"}}"#);
-    for (deadline, body, names) in [
+    for (expires_in_ms, body, field) in [
         ("", body(r#"{"segment":1,"boost":1}"#), "X-Expires-In-Ms"),
         ("-5", body(r#"{"segment":1,"boost":1}"#), "X-Expires-In-Ms"),
         ("0", body(r#"{"segment":1,"boost":1}"#), "X-Expires-In-Ms"),
@@ -37,7 +47,7 @@
         ("9", body(r#"{"segment":1,"boost":1,"work":"x"}"#), "work"),
         ("9", r#"{"segments":[{"segment":1,"boost":1}]}"#.to_string(), "text"),
     ] {
-        let why = query(deadline, &body).expect_err(&body);
-        assert!(why.contains(names), "{body}: {why}");
+        let error = parse(expires_in_ms, &body).expect_err(&body).to_string();
+        assert!(error.contains(field), "{body}: {error}");
     }
 }
