--- a/crates/query-router/src/clients.rs
+++ b/crates/query-router/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::config::{Config, numbered};
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::http::{self, MAX_REQUEST_BYTES, Request};
-use crate::protocol::query_request::QueryVocabulary;
+use crate::protocol::query_request::{QueryVocabulary, RequestedShard};
 use crate::reducer::{Desk, Kind, Peer, Router};
 use balancer::{Events, Micros, QueryArrival, QueryId, ShardRequestArrival, ShardRequestId};
 
@@ -218,7 +218,14 @@
         let client = self.client(conn);
         client.hand = Hand::Answer;
         client.last |= stopping;
-        let head = http::head(status, kind, body.len(), advice.map(|wait| wait as f64 / 1e6), client.last);
+        let head = http::OutgoingHead {
+            status,
+            content_type: kind,
+            content_length: body.len(),
+            retry_after_seconds: advice.map(|wait| wait as f64 / 1e6),
+            closes_connection: client.last,
+        }
+        .encode();
         self.effects.push(Effect::Write(conn, vec![head.into_bytes().into(), body.into()]));
         self.wake_at(conn, Some(now + longest));
     }
@@ -247,7 +254,7 @@
             Hand::Leaving => return self.desk.taken(conn, bytes.len()),
             Hand::Empty | Hand::Begun => {}
         }
-        match http::request(bytes) {
+        match http::parse_request(bytes) {
             Ok(None) if crowded => {
                 client.last = true;
                 self.desk.counters.requests_over_memory += 1;
@@ -260,22 +267,22 @@
                     let ends_at = self.desk.ends_at.unwrap_or(Micros::MAX);
                     self.desk.wake_at(conn, Some(ends_at.min(now + longest)));
                 }
-                if http::waits(bytes) {
+                if http::expects_continue(bytes) {
                     let word = b"HTTP/1.1 100 Continue\r\n\r\n"[..].into();
                     self.desk.effects.push(Effect::Write(conn, vec![word]));
                 }
             }
             Ok(Some(request)) => {
-                client.last = request.last;
-                self.desk.taken(conn, request.length);
+                client.last = request.closes_connection;
+                self.desk.taken(conn, request.encoded_length);
                 self.desk.wake_at(conn, None);
                 self.request(conn, &request);
             }
-            Err((status, why)) => {
+            Err(error) => {
                 client.last = true;
                 self.desk.taken(conn, bytes.len());
                 self.desk.counters.requests_invalid += 1;
-                self.desk.say(conn, status, why);
+                self.desk.say(conn, error.status(), &error.to_string());
             }
         }
     }
@@ -303,12 +310,12 @@
 
     fn query(&mut self, conn: ConnectionId, request: &Request) {
         let desk = &mut self.desk;
-        let query = match desk.clients.terms.query(request) {
-            Ok(query) if !desk.gather.holds(request.id) => query,
+        let query = match desk.clients.terms.parse(request) {
+            Ok(query) if !desk.gather.holds(request.trace_id) => query,
             other => {
                 desk.counters.requests_invalid += 1;
-                let why = other.err().unwrap_or("a retrieval with this X-Trace-Id is in hand");
-                return desk.say(conn, 400, why);
+                let in_hand = "a retrieval with this X-Trace-Id is in hand".to_string();
+                return desk.say(conn, 400, &other.err().map_or(in_hand, |error| error.to_string()));
             }
         };
         if desk.clients.most_held.is_some_and(|most| desk.gather.open >= most) {
@@ -318,10 +325,10 @@
         let (now, until) = (desk.now, desk.now + query.deadline);
         let until = desk.ends_at.map_or(until, |at| at.min(until));
         desk.counters.queries_accepted += 1;
-        let retrieval = desk.gather.open(request.id, conn, until, query.text);
+        let retrieval = desk.gather.open(request.trace_id, conn, until, query.text);
         desk.client(conn).hand = Hand::Retrieval(retrieval);
-        let work = query.segments.iter().map(|s| s.2).sum();
-        let (class, parts) = (query.class, query.segments.len());
+        let work = query.shards.iter().map(|s| s.work).sum();
+        let (class, parts) = (query.class, query.shards.len());
         self.balance.query_arrived(
             now,
             &QueryArrival {
@@ -331,10 +338,10 @@
                 deadline: until,
                 work,
                 shard_requests: parts,
-                is_retry: request.again,
+                is_retry: request.is_retry,
             },
         );
-        for (shard, weight, work) in query.segments {
+        for RequestedShard { shard, weight, work } in query.shards {
             let part = self.desk.gather.add(retrieval, shard);
             self.balance.shard_request_arrived(
                 now,
--- a/crates/query-router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Config, numbered};
 use crate::io::{ConnectionId, Effect};
-use crate::protocol::http::{self, Chunks, Framing};
+use crate::protocol::http::{self, BodyFraming, ChunkedDecoder};
 use crate::protocol::json_stream::{JsonStream, JsonStreamItem, MAX_ENDPOINT_LIST_BYTES};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
@@ -19,8 +19,8 @@
 pub struct Call {
     watch: bool,
     /// How the body is framed, once the head is in, and how far it is read.
-    framing: Option<Framing>,
-    chunks: Chunks,
+    framing: Option<BodyFraming>,
+    chunks: ChunkedDecoder,
     read: usize,
     /// What is in of the list.
     body: Vec<u8>,
@@ -100,7 +100,7 @@
         let call = Call {
             watch,
             framing: None,
-            chunks: Chunks::new(MAX_ENDPOINT_LIST_BYTES),
+            chunks: ChunkedDecoder::new(MAX_ENDPOINT_LIST_BYTES),
             read: 0,
             body: Vec::new(),
             objects: JsonStream::default(),
@@ -151,7 +151,7 @@
     /// Discovery has closed its side in order.
     pub fn call_closed(&mut self, conn: ConnectionId) {
         let call = self.call_mut(conn);
-        call.over |= call.framing == Some(Framing::Open);
+        call.over |= call.framing == Some(BodyFraming::UntilClose);
     }
 
     fn call_mut(&mut self, conn: ConnectionId) -> &mut Call {
@@ -193,25 +193,28 @@
                 // Bytes that make no line and no object say nothing, however often they come.
                 let call = self.desk.call_mut(conn);
                 call.over = over;
-                call.begun = call.objects.begun().then_some(call.begun.unwrap_or(now));
+                call.begun = call.objects.is_inside_object().then_some(call.begun.unwrap_or(now));
                 let since = call.begun.unwrap_or(call.heard);
                 self.desk.wake_at(conn, Some(since + 2 * EMPTY_LINES));
                 if over {
                     self.call_ended(conn);
                 }
             }
-            Err(why) => self.call_unusable(conn, why),
+            Err(why) => self.call_unusable(conn, &why.to_string()),
         }
     }
 
     /// Reads on; how many bytes were taken and whether the body is over, or why it can't be used.
-    fn call_read(&mut self, conn: ConnectionId, bytes: &[u8]) -> Result<(usize, bool), &'static str> {
+    fn call_read(
+        &mut self, conn: ConnectionId, bytes: &[u8],
+    ) -> Result<(usize, bool), Box<dyn std::error::Error>> {
         let call = self.desk.call_mut(conn);
         let (mut at, mut over) = (0, false);
         let framing = match call.framing {
             Some(framing) => framing,
             None => {
-                let Some((status, length, framing)) = http::response(bytes).map_err(|bad| bad.1)? else {
+                let Some(http::ResponseHead { status, length, framing }) = http::parse_response_head(bytes)?
+                else {
                     return Ok((0, false));
                 };
                 // Down, or too busy: its body is of no use, and what has no framing ends as a call that failed.
@@ -225,26 +228,26 @@
         let (watch, body, objects) = (call.watch, &mut call.body, &mut call.objects);
         let mut take = |data: &[u8]| if watch { objects.push(data) } else { body.extend_from_slice(data) };
         match framing {
-            Framing::Chunks => {
-                let read = call.chunks.read(&bytes[at..], &mut take).map_err(|bad| bad.1)?;
-                (at, over) = (at + read.0, read.1);
+            BodyFraming::Chunked => {
+                let read = call.chunks.decode(&bytes[at..], &mut take)?;
+                (at, over) = (at + read.consumed, read.complete);
             }
-            Framing::Length(length) if length > MAX_ENDPOINT_LIST_BYTES => {
-                return Err("the list is too long");
+            BodyFraming::Length(length) if length > MAX_ENDPOINT_LIST_BYTES => {
+                return Err("the list is too long".into());
             }
-            Framing::Length(length) => {
+            BodyFraming::Length(length) => {
                 let data = &bytes[at..bytes.len().min(at + length - call.read)];
                 take(data);
                 call.read += data.len();
                 (at, over) = (bytes.len(), call.read == length);
             }
-            Framing::Open => {
+            BodyFraming::UntilClose => {
                 take(&bytes[at..]);
                 at = bytes.len();
             }
         }
         if call.body.len() > MAX_ENDPOINT_LIST_BYTES {
-            return Err("the list is too long");
+            return Err("the list is too long".into());
         }
         if watch {
             self.objects(conn)?;
@@ -253,9 +256,9 @@
     }
 
     /// Tells the module each object of a watch that is whole.
-    fn objects(&mut self, conn: ConnectionId) -> Result<(), &'static str> {
+    fn objects(&mut self, conn: ConnectionId) -> Result<(), Box<dyn std::error::Error>> {
         loop {
-            let next = self.desk.call_mut(conn).objects.next()?;
+            let next = self.desk.call_mut(conn).objects.next_item()?;
             if next == JsonStreamItem::Incomplete {
                 return Ok(());
             }
--- a/crates/query-router/src/links.rs
+++ b/crates/query-router/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to data nodes: what waits for them, what is out on them, and how they end.
 
 use crate::io::{ConnectionId, Effect, Node, Piece};
-use crate::protocol::frames::{self, Read};
+use crate::protocol::frames::{self, FrameKind, ShardResponse};
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
 use balancer::{AttemptOutcome, Events, HealthCheckEnd, LoadMetric, Micros, NodeId};
@@ -290,22 +290,22 @@
         for item in link.queue.drain(..) {
             let first = pieces.len();
             pieces.push(Rc::from([]));
-            let letter = match &item {
+            let kind = match &item {
                 Item::Call(shots) => {
                     for &(part, trial) in shots {
                         let held = &self.gather.parts[part];
                         let text = &self.gather.retrievals[held.retrieval].text;
                         let wait = (held.shots[trial].until - now).max(0) / 1000;
-                        let line = frames::part_line(&held.id, held.shard, wait, text.len());
+                        let line = frames::shard_request_line(&held.id, held.shard, wait, text.len());
                         pieces.extend([line.into_bytes().into(), text.clone()]);
                     }
                     self.counters.batches_sent += 1;
                     self.counters.attempts_sent += shots.len() as u64;
-                    b'R'
+                    FrameKind::Batch
                 }
                 Item::GiveUp(id) => {
                     pieces.push(id.as_bytes().into());
-                    b'A'
+                    FrameKind::Cancel
                 }
                 Item::Probe => {
                     self.counters.health_checks_sent += 1;
@@ -313,7 +313,7 @@
                 }
             };
             let length = pieces[first..].iter().map(|piece| piece.len()).sum();
-            let head = frames::head(letter, length);
+            let head = frames::head(kind.letter(), length);
             pieces[first] = head.into();
             link.handed += (head.len() + length) as u64;
             if let Item::Call(shots) = item {
@@ -431,10 +431,10 @@
     pub fn link_received(&mut self, conn: ConnectionId, bytes: &[u8]) {
         let mut at = 0;
         loop {
-            match frames::read(&bytes[at..]) {
-                Read::More => break,
-                Read::Frame(letter, rest, length) if self.frame(conn, letter, rest) => at += length,
-                Read::Frame(..) | Read::Bad => {
+            match frames::parse(&bytes[at..]) {
+                Ok(None) => break,
+                Ok(Some(frame)) if self.frame(conn, frame.kind, frame.payload) => at += frame.encoded_length,
+                Ok(Some(_)) | Err(_) => {
                     let named = self.desk.link(conn).named(&bytes[at..]);
                     return self.link_spoilt(conn, named);
                 }
@@ -465,10 +465,11 @@
     }
 
     /// Takes one frame; false if it can't be used.
-    fn frame(&mut self, conn: ConnectionId, letter: u8, rest: &[u8]) -> bool {
-        match letter {
-            b'Y' => {
-                let Some((id, outcome, report, value)) = frames::answer(rest) else { return false };
+    fn frame(&mut self, conn: ConnectionId, kind: FrameKind, rest: &[u8]) -> bool {
+        match kind {
+            FrameKind::Response => {
+                let Ok(response) = ShardResponse::parse(rest) else { return false };
+                let ShardResponse { id, outcome, load_report: report, value } = response;
                 let link = self.desk.link(conn);
                 let Some(at) = link.out.iter().position(|out| &*out.id == id) else {
                     let left = link.stale.iter().position(|known| **known == *id);
@@ -487,7 +488,7 @@
                 self.shot_ended(part, trial, outcome, &load.unwrap_or_default());
                 true
             }
-            b'G' | b'T' => {
+            FrameKind::Health | FrameKind::Load => {
                 let Ok(text) = std::str::from_utf8(rest) else { return false };
                 let outcome =
                     if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
@@ -495,14 +496,14 @@
                 self.probe_ended(conn, outcome, &names::load(report, '=').unwrap_or_default());
                 true
             }
-            b'N' => {
+            FrameKind::NotUnderstood => {
                 // The node is about to close: what is not out yet goes elsewhere.
                 self.desk.garbled(conn, &String::from_utf8_lossy(rest));
                 self.desk.link(conn).worn = true;
                 self.desk.effects.push(Effect::Break(conn));
                 true
             }
-            _ => false,
+            FrameKind::Batch | FrameKind::Cancel => false,
         }
     }
 
--- a/crates/query-router/src/scatter.rs
+++ b/crates/query-router/src/scatter.rs
@@ -5,6 +5,7 @@
 use crate::gather::Shot;
 use crate::io::{ConnectionId, Effect, Node};
 use crate::links::{Left, ShotId};
+use crate::protocol::frames::FrameKind;
 use crate::reducer::{Alarm, Desk, Router};
 use balancer::{
     AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Events, LoadMetric, Micros, NodeId, ShardRequestId,
@@ -37,7 +38,7 @@
     pub connect: Micros,
     pub idle: Micros,
     /// The letter of a probe: for load where load comes by probes, else for health.
-    pub probe: u8,
+    pub probe: FrameKind,
 }
 
 impl Scatter {
@@ -52,7 +53,11 @@
             connect,
             // Closed here before the data node may: a request that crosses its close would be a reset.
             idle: (idle - connect).max(idle / 2),
-            probe: if config.settings.text("load_report.transport") == "health_checks" { b'T' } else { b'G' },
+            probe: if config.settings.text("load_report.transport") == "health_checks" {
+                FrameKind::Load
+            } else {
+                FrameKind::Health
+            },
         }
     }
 
