--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -1,132 +1,208 @@
 //! The configuration that the platform hands to a router at its start.
 
+mod error;
+
 #[cfg(test)]
 mod tests;
 
+pub use error::{ConfigError, ConfigFileError, ExpectedType};
+
 use balancer::{Micros, Settings};
 use serde_json::Value as Json;
 use settings_schema::names;
 use std::net::SocketAddr;
 
+/// The bytes of a mebibyte, in which `limits.memory_mb` is stated.
+const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
+
+/// The settings that must be at least 1: the balancer's name, and the name in the file.
+const REQUIRED_SETTINGS: [(&str, &str); 7] = [
+    ("shards.replica_sets", "familyInfo.sets"),
+    ("shards.count", "familyInfo.shards"),
+    ("shards.replica_sets_per_shard", "familyInfo.width"),
+    ("batch.max_shard_requests", "familyInfo.bundleMax"),
+    ("limits.max_requests_per_connection", "ceilings.maxStreams"),
+    ("limits.connect_timeout_us", "ceilings.connectTimeoutNs"),
+    ("limits.idle_timeout_us", "ceilings.idleCloseNs"),
+];
+
+/// What a router needs to know at its start.
 #[derive(Debug)]
 pub struct Config {
+    /// The name of the router, for the log.
     pub name: String,
+    /// Where to listen for clients.
     pub listen: SocketAddr,
+    /// Where to ask for the endpoint list.
     pub discovery: SocketAddr,
+    /// The seed of all random draws.
     pub seed: u64,
     /// The most file descriptors that the process may hold.
-    pub sockets: usize,
-    /// The most memory that it may take, in bytes, where that is stated.
-    pub memory: Option<usize>,
-    /// The list of data nodes as last held, in discovery's form.
-    pub known: Json,
+    pub max_sockets: usize,
+    /// The most memory that the process may take, in bytes, if it is limited.
+    pub max_memory_bytes: Option<usize>,
+    /// The endpoint list that was last known, in discovery's form.
+    pub cached_endpoints: Json,
+    /// The settings of the deployment under the balancer's names.
     pub settings: Settings,
 }
 
-/// The names under a numbered setting, in order.
-pub fn numbered(settings: &Settings, list: &str) -> Vec<String> {
-    let name = |i: usize| Some(settings.text(&format!("{list}.{i}.name"))).filter(|name| !name.is_empty());
-    (0..).map_while(|i| name(i).map(str::to_string)).collect()
+/// The names in a list of settings such as `class`, in the order of their indices.
+pub fn names_in_list(settings: &Settings, list: &str) -> Vec<String> {
+    let name = |index: usize| settings.text(&format!("{list}.{index}.name")).to_string();
+    (0..).map(name).take_while(|name| !name.is_empty()).collect()
 }
 
 impl Config {
-    pub fn read(path: &str) -> Result<Config, String> {
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{path}: {e}"))?;
-        Config::parse(&text).map_err(|why| format!("{path}: {why}"))
+    /// Reads a configuration file.
+    ///
+    /// # Errors
+    ///
+    /// A [`ConfigFileError`] if the file cannot be read, or if the router cannot serve with it.
+    pub fn read(path: &str) -> Result<Config, ConfigFileError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| ConfigFileError::Unreadable { path: path.to_string(), source })?;
+        Config::parse(&text).map_err(|source| ConfigFileError::Invalid { path: path.to_string(), source })
     }
 
-    pub fn parse(text: &str) -> Result<Config, String> {
-        let json: Json = serde_json::from_str(text).map_err(|e| format!("it is not JSON: {e}"))?;
-        let field = |name: &str| {
-            json.pointer(name)
-                .filter(|v| !v.is_null())
-                .ok_or_else(|| format!("{}: it is missing", &name[1..]))
-        };
-        let text =
-            |name: &str| field(name)?.as_str().ok_or_else(|| format!("{}: it is not a text", &name[1..]));
-        let address = |name: &str| {
-            let address = text(name)?;
-            address.parse().map_err(|_| format!("{}: '{address}' is not an address with a port", &name[1..]))
-        };
-        let settings = names::settings(field("/settings")?).map_err(|e| format!("settings: {e}"))?;
-        let seed = text("/seed")?;
-        let known = field("/known")?.clone();
-        if !known["members"].is_array() {
-            return Err("known.members: it is not a list".to_string());
-        }
-        let sockets = field("/limits/sockets")?;
-        let memory = match field("/limits/memory_mb") {
-            Ok(most) => {
-                let most = most.as_f64().filter(|&mb| mb > 0.0);
-                Some((most.ok_or("limits/memory_mb: it is not a positive number")? * 1_048_576.0) as usize)
-            }
-            Err(_) => None,
-        };
+    /// Reads a configuration from its text.
+    ///
+    /// # Errors
+    ///
+    /// The [`ConfigError`] of the first field that the router cannot serve with.
+    pub fn parse(text: &str) -> Result<Config, ConfigError> {
+        let json: Json = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
+        let fields = Fields(&json);
+        let settings = fields.required("settings")?;
+        let settings = names::settings(settings).map_err(|error| ConfigError::Settings(error.into()))?;
+        let seed = fields.text("seed")?;
+        let cached_endpoints = fields.cached_endpoints()?;
+        fields.required("limits/sockets")?;
         let config = Config {
-            name: text("/name")?.to_string(),
-            listen: address("/listen")?,
-            discovery: address("/discovery")?,
-            seed: u64::from_str_radix(seed, 16)
-                .map_err(|_| format!("seed: '{seed}' is not 16 hex digits"))?,
-            sockets: sockets.as_u64().ok_or("limits/sockets: it is not a whole number")? as usize,
-            memory,
-            known,
+            max_memory_bytes: fields.max_memory_bytes()?,
+            name: fields.text("name")?.to_string(),
+            listen: fields.address("listen")?,
+            discovery: fields.address("discovery")?,
+            seed: parse_seed(seed)?,
+            max_sockets: fields.count("limits/sockets")?,
+            cached_endpoints,
             settings,
         };
-        config.checked()
+        config.check_settings()?;
+        Ok(config)
     }
 
-    /// The fields that differ in a newer configuration and are only heeded at a start.
-    pub fn needs_restart(&self, newer: &Config) -> Vec<&'static str> {
-        let same = [
+    /// The fields that differ in a newer configuration and take effect at the next start only.
+    pub fn fields_needing_restart(&self, newer: &Config) -> Vec<&'static str> {
+        let limits = |config: &Config| (config.max_sockets, config.max_memory_bytes);
+        let unchanged = [
             ("name", self.name == newer.name),
             ("listen", self.listen == newer.listen),
-            ("limits", (self.sockets, self.memory) == (newer.sockets, newer.memory)),
+            ("limits", limits(self) == limits(newer)),
             ("settings", self.settings == newer.settings),
         ];
-        same.into_iter().filter(|field| !field.1).map(|field| field.0).collect()
+        unchanged.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect()
     }
 
-    /// Says which setting the router can't serve with.
-    fn checked(self) -> Result<Config, String> {
-        let settings = &self.settings;
-        let classes = numbered(settings, "class");
+    fn check_settings(&self) -> Result<(), ConfigError> {
+        let classes = names_in_list(&self.settings, "class");
         if classes.is_empty() {
-            return Err("settings.services: no service class is named".to_string());
+            return Err(ConfigError::NoServiceClass);
         }
-        for (i, name) in classes.iter().enumerate() {
-            if settings.number(&format!("class.{i}.deadline_us")).is_none_or(|t| t <= 0.0) {
-                return Err(format!("settings.services: {name}: deadlineNs is missing or not positive"));
-            }
-            // Without the client's mark a node can't tell a repeat, and the protocol names no way to send it.
-            if settings.text(&format!("class.{i}.idempotency")) == "idempotency_key" {
-                return Err(format!("settings.services: {name}: idempotency_key is not served"));
-            }
-            if settings.number(&format!("class.{i}.second_step")).is_some_and(|n| n >= 1.0) {
-                return Err(format!("settings.familyInfo.secondStep: {name}: second steps are not served"));
-            }
+        for (index, class) in classes.into_iter().enumerate() {
+            self.check_service_class(index, class)?;
         }
-        for (name, theirs) in [
-            ("shards.replica_sets", "familyInfo.sets"),
-            ("shards.count", "familyInfo.shards"),
-            ("shards.replica_sets_per_shard", "familyInfo.width"),
-            ("batch.max_shard_requests", "familyInfo.bundleMax"),
-            ("limits.max_requests_per_connection", "ceilings.maxStreams"),
-            ("limits.connect_timeout_us", "ceilings.connectTimeoutNs"),
-            ("limits.idle_timeout_us", "ceilings.idleCloseNs"),
-        ] {
-            if settings.number(name).is_none_or(|n| n < 1.0) {
-                return Err(format!("settings.{theirs}: it is missing or under 1"));
+        for (name, field) in REQUIRED_SETTINGS {
+            if self.settings.number(name).is_none_or(|number| number < 1.0) {
+                return Err(ConfigError::SettingTooSmall { field });
             }
         }
-        Ok(self)
+        Ok(())
     }
 
+    fn check_service_class(&self, index: usize, class: String) -> Result<(), ConfigError> {
+        let number = |setting: &str| self.settings.number(&format!("class.{index}.{setting}"));
+        if number("deadline_us").is_none_or(|deadline| deadline <= 0.0) {
+            return Err(ConfigError::InvalidDeadline { class });
+        }
+        // Without the client's key a node cannot recognize a repeated request, and the protocol has no field for it.
+        if self.settings.text(&format!("class.{index}.idempotency")) == "idempotency_key" {
+            return Err(ConfigError::UnsupportedIdempotencyKey { class });
+        }
+        if number("second_step").is_some_and(|steps| steps >= 1.0) {
+            return Err(ConfigError::UnsupportedSecondStep { class });
+        }
+        Ok(())
+    }
+
+    /// The setting `name` as a time in microseconds; 0 if it is absent.
     pub fn micros(&self, name: &str) -> Micros {
         self.settings.number(name).unwrap_or(0.0) as Micros
     }
 
-    pub fn whole(&self, name: &str) -> usize {
+    /// The setting `name` as a count; 0 if it is absent.
+    pub fn count(&self, name: &str) -> usize {
         self.settings.number(name).unwrap_or(0.0) as usize
     }
 }
+
+/// Typed access to the fields of a configuration by their path.
+struct Fields<'a>(&'a Json);
+
+impl<'a> Fields<'a> {
+    /// A field, unless it is absent or null.
+    fn optional(&self, field: &str) -> Option<&'a Json> {
+        self.0.pointer(&format!("/{field}")).filter(|value| !value.is_null())
+    }
+
+    fn required(&self, field: &'static str) -> Result<&'a Json, ConfigError> {
+        self.optional(field).ok_or(ConfigError::Missing { field })
+    }
+
+    fn text(&self, field: &'static str) -> Result<&'a str, ConfigError> {
+        let value = self.required(field)?;
+        value.as_str().ok_or_else(|| wrong_type(field, value, ExpectedType::Text))
+    }
+
+    fn count(&self, field: &'static str) -> Result<usize, ConfigError> {
+        let value = self.required(field)?;
+        let count =
+            value.as_u64().ok_or_else(|| wrong_type(field, value, ExpectedType::NonNegativeInteger))?;
+        Ok(count as usize)
+    }
+
+    fn address(&self, field: &'static str) -> Result<SocketAddr, ConfigError> {
+        let value = self.text(field)?;
+        value.parse().map_err(|source| ConfigError::InvalidAddress {
+            field,
+            value: value.to_string(),
+            source,
+        })
+    }
+
+    fn cached_endpoints(&self) -> Result<Json, ConfigError> {
+        let list = self.required("known")?;
+        let members = &list["members"];
+        if !members.is_array() {
+            return Err(wrong_type("known.members", members, ExpectedType::List));
+        }
+        Ok(list.clone())
+    }
+
+    fn max_memory_bytes(&self) -> Result<Option<usize>, ConfigError> {
+        const FIELD: &str = "limits/memory_mb";
+        let Some(value) = self.optional(FIELD) else { return Ok(None) };
+        let mebibytes = value.as_f64().filter(|&mebibytes| mebibytes > 0.0);
+        let mebibytes = mebibytes.ok_or_else(|| wrong_type(FIELD, value, ExpectedType::PositiveNumber))?;
+        Ok(Some((mebibytes * BYTES_PER_MEBIBYTE) as usize))
+    }
+}
+
+fn wrong_type(field: &'static str, value: &Json, expected: ExpectedType) -> ConfigError {
+    ConfigError::WrongType { field, value: value.clone(), expected }
+}
+
+fn parse_seed(value: &str) -> Result<u64, ConfigError> {
+    u64::from_str_radix(value, 16)
+        .map_err(|source| ConfigError::InvalidSeed { value: value.to_string(), source })
+}
