--- a/crates/control-plane/src/control.rs
+++ b/crates/control-plane/src/control.rs
@@ -140,7 +140,7 @@
             metrics: Metrics::new(),
             effects: Vec::new(),
         };
-        control.list(now, &config.known, EndpointUpdate::Cached);
+        control.list(now, &config.cached_endpoints, EndpointUpdate::Cached);
         for class in control.site.classes.iter().filter(|class| class.effect == "idempotency_key") {
             tracing::warn!(class = class.name, "keyed: proxies refuse it, its keys can't be kept by them");
         }
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -5,7 +5,7 @@
     Actions, Balancer, Completion, Endpoint, EndpointHealth, EndpointUpdate, Events, LoadReport, Micros,
     NodeId, QueryId, Settings, ShardRequestId,
 };
-use query_router::config::{Config, numbered};
+use query_router::config::{Config, names_in_list};
 use serde_json::Value as Json;
 use settings_schema::ids::Ids;
 use settings_schema::names::EndpointEntry;
@@ -74,7 +74,7 @@
             balance: Balancer::new(config.seed, config.settings.clone()),
             ids: Ids::default(),
             places: Vec::new(),
-            zones: numbered(&config.settings, "zone"),
+            zones: names_in_list(&config.settings, "zone"),
             told: false,
             known: false,
             unusable: 0,
@@ -184,7 +184,7 @@
     pub fn new(settings: &Settings) -> Site {
         let number = |name: &str, absent: f64| settings.number(name).unwrap_or(absent);
         let whole = |name: &str| number(name, 1.0).max(1.0) as usize;
-        let classes = numbered(settings, "class").into_iter().enumerate().map(|(i, name)| {
+        let classes = names_in_list(settings, "class").into_iter().enumerate().map(|(i, name)| {
             let of = |name: &str| format!("class.{i}.{name}");
             let deadline = number(&of("deadline_us"), 0.0) as Micros;
             Class {
--- a/crates/control-plane/src/serve.rs
+++ b/crates/control-plane/src/serve.rs
@@ -476,7 +476,7 @@
             }
             _ = hang_up.recv() => match path.as_deref().map(Config::read) {
                 Some(Ok(newer)) => {
-                    let held = config.needs_restart(&newer);
+                    let held = config.fields_needing_restart(&newer);
                     if !held.is_empty() {
                         tracing::warn!("heeded at the next start only: {}", held.join(", "));
                     }
--- a/crates/query-router/src/clients.rs
+++ b/crates/query-router/src/clients.rs
@@ -1,6 +1,6 @@
 //! Connections of clients: requests in, answers out, one at a time on each.
 
-use crate::config::{Config, numbered};
+use crate::config::{Config, names_in_list};
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::http::{self, MAX_REQUEST_BYTES, Request};
 use crate::protocol::query_request::{QueryVocabulary, RequestedShard};
@@ -62,21 +62,21 @@
 impl Clients {
     pub fn new(config: &Config) -> Clients {
         let settings = &config.settings;
-        let classes = numbered(settings, "class");
+        let classes = names_in_list(settings, "class");
         let deadline = (0..classes.len()).map(|g| config.micros(&format!("class.{g}.deadline_us")));
         Clients {
             held_back: 0,
             longest: deadline.max().unwrap_or(0),
             untaken: 0,
-            most_untaken: config.memory.map_or(usize::MAX, |most| most / UNTAKEN),
+            most_untaken: config.max_memory_bytes.map_or(usize::MAX, |most| most / UNTAKEN),
             most_held: settings
                 .number("limits.max_in_flight")
                 .map(|most| most as usize)
                 .filter(|&most| most > 0),
             terms: QueryVocabulary {
                 classes,
-                tenants: numbered(settings, "tenant"),
-                shards: config.whole("shards.count"),
+                tenants: names_in_list(settings, "tenant"),
+                shards: config.count("shards.count"),
             },
         }
     }
--- a/crates/query-router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Calls to discovery: the whole list, or a watch that tells of changes for as long as it lasts.
 
-use crate::config::{Config, numbered};
+use crate::config::{Config, names_in_list};
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::http::{self, BodyFraming, ChunkedDecoder};
 use crate::protocol::json_stream::{JsonStream, JsonStreamItem, MAX_ENDPOINT_LIST_BYTES};
@@ -72,7 +72,7 @@
             rng: fastrand::Rng::with_seed(!config.seed),
             asked: config.settings.text("discovery.mode") == "polled",
             nodes: Ids::default(),
-            zones: numbered(&config.settings, "zone"),
+            zones: names_in_list(&config.settings, "zone"),
             lists: 0,
             unheard: 0,
         }
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -236,7 +236,7 @@
     fn reload_config(&mut self) {
         match Config::read(&self.config_path) {
             Ok(newer) => {
-                let unapplied = self.config.needs_restart(&newer);
+                let unapplied = self.config.fields_needing_restart(&newer);
                 if !unapplied.is_empty() {
                     tracing::warn!("heeded at the next start only: {}", unapplied.join(", "));
                 }
--- a/crates/query-router/src/reducer.rs
+++ b/crates/query-router/src/reducer.rs
@@ -108,11 +108,11 @@
             stopping: false,
             closing: false,
             ends_at: None,
-            most_peers: config.sockets.saturating_sub(OTHER_FILES).max(1),
+            most_peers: config.max_sockets.saturating_sub(OTHER_FILES).max(1),
             timer: None,
         };
         let mut router = Router { balance: Balancer::new(config.seed, config.settings.clone()), desk };
-        router.known(&config.known);
+        router.known(&config.cached_endpoints);
         router
     }
 
--- a/crates/query-router/src/scatter.rs
+++ b/crates/query-router/src/scatter.rs
@@ -48,8 +48,8 @@
         Scatter {
             nodes: Vec::new(),
             calls: Vec::new(),
-            call_parts: config.whole("batch.max_shard_requests"),
-            most_parts: config.whole("limits.max_requests_per_connection"),
+            call_parts: config.count("batch.max_shard_requests"),
+            most_parts: config.count("limits.max_requests_per_connection"),
             connect,
             // Closed here before the data node may: a request that crosses its close would be a reset.
             idle: (idle - connect).max(idle / 2),
