--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -1,4 +1,6 @@
-use crate::{operator, platform};
+//! The sub-command `check`.
+
+use crate::{CliError, read_configuration, read_operator_file};
 use argh::FromArgs;
 use control_plane::Options;
 
@@ -15,12 +17,14 @@
 }
 
 impl Check {
-    pub fn run(self) -> Result<(), String> {
-        let mut file = operator(self.operator)?;
-        file.log_format()?;
-        Options::read(&mut file.section("control"))?;
-        file.all_known()?;
-        println!("{}: fit to serve", platform(self.config)?.0.name);
+    /// Checks both files and prints that they can be served with.
+    pub fn run(self) -> Result<(), CliError> {
+        let mut file = read_operator_file(self.operator)?;
+        file.log_format().map_err(CliError::operator_file)?;
+        Options::read(&mut file.section("control")).map_err(CliError::operator_file)?;
+        file.all_known().map_err(CliError::operator_file)?;
+        let (config, _) = read_configuration(self.config)?;
+        println!("{}: fit to serve", config.name);
         Ok(())
     }
 }
--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -1,6 +1,9 @@
-use crate::{log_to_stderr, operator, platform};
+//! The sub-command `control`.
+
+use crate::{CliError, log_to_stderr, read_configuration, read_operator_file};
 use argh::FromArgs;
 use control_plane::{Options, dump, serve};
+use query_router::config::Config;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// Hand out decisions to other proxies through xDS until told to end.
@@ -25,18 +28,25 @@
 }
 
 impl Control {
-    pub fn run(self) -> Result<(), String> {
-        let mut file = operator(self.operator)?;
+    /// Serves until a signal asks for the end, or prints a proxy's resources.
+    pub fn run(self) -> Result<(), CliError> {
+        let mut file = read_operator_file(self.operator.clone())?;
         log_to_stderr(&mut file)?;
-        let options = Options::read(&mut file.section("control"))?;
-        file.all_known()?;
-        let (config, path) = platform(self.config)?;
-        if !self.dump {
-            return serve(config, path, options);
+        let options = Options::read(&mut file.section("control")).map_err(CliError::operator_file)?;
+        file.all_known().map_err(CliError::operator_file)?;
+        let (config, path) = read_configuration(self.config.clone())?;
+        if self.dump {
+            self.print_resources(&config, options)
+        } else {
+            serve(config, path, options).map_err(CliError::control_plane)
         }
+    }
+
+    fn print_resources(&self, config: &Config, options: Options) -> Result<(), CliError> {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as i64;
-        let shown = dump(now, &config, options, &self.node_id, &self.zone)?;
-        println!("{}", serde_json::to_string_pretty(&shown).map_err(|e| e.to_string())?);
+        let resources =
+            dump(now, config, options, &self.node_id, &self.zone).map_err(CliError::control_plane)?;
+        println!("{}", serde_json::to_string_pretty(&resources)?);
         Ok(())
     }
 }
--- /dev/null
+++ b/crates/cli/src/error.rs
@@ -0,0 +1,39 @@
+//! Errors that end the program. Each is printed as one line.
+
+use query_router::ServeError;
+use query_router::config::ConfigFileError;
+
+/// Why a sub-command failed.
+#[derive(Debug, thiserror::Error)]
+pub enum CliError {
+    /// The command line and the environment name no configuration.
+    #[error("neither --config nor LB_CONFIG names a configuration")]
+    NoConfiguration,
+    /// The configuration cannot be used.
+    #[error(transparent)]
+    Configuration(#[from] ConfigFileError),
+    /// The operator's file cannot be used.
+    #[error("{0}")]
+    OperatorFile(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The query router cannot serve.
+    #[error(transparent)]
+    Serve(#[from] ServeError),
+    /// The control plane cannot serve, or cannot say what it would serve.
+    #[error("{0}")]
+    ControlPlane(#[source] Box<dyn std::error::Error + Send + Sync>),
+    /// The resources cannot be printed as JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+}
+
+impl CliError {
+    /// Wraps an error in the operator's file.
+    pub fn operator_file(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> CliError {
+        CliError::OperatorFile(error.into())
+    }
+
+    /// Wraps an error of the control plane.
+    pub fn control_plane(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> CliError {
+        CliError::ControlPlane(error.into())
+    }
+}
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,17 +1,19 @@
-//! yewpier: a query router that serves a retrieval from many shards, and what stands around it. One file a
-//! sub-command.
+//! The command line: the query router, the control plane, and a check of their configuration. Each sub-command has a
+//! file of its own.
 
 mod check;
 mod control;
+mod error;
 mod serve;
 mod version;
 
 use argh::FromArgs;
+use error::CliError;
 use operator_config::{File, LogFormat};
 use query_router::config::Config;
 use std::process::ExitCode;
 
-/// A query router that serves a retrieval from many shards.
+/// A query router that answers each query from many shards.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -27,25 +29,26 @@
     Version(version::Version),
 }
 
-/// The platform's configuration and its path: as stated, else where $LB_CONFIG says.
-fn platform(path: Option<String>) -> Result<(Config, String), String> {
-    let path = path.or_else(|| std::env::var("LB_CONFIG").ok());
-    let path = path.ok_or("neither --config nor LB_CONFIG names a configuration")?;
+/// Reads the platform's configuration from `path`, or else from where `$LB_CONFIG` says. Returns it with its path.
+fn read_configuration(path: Option<String>) -> Result<(Config, String), CliError> {
+    let path = path.or_else(|| std::env::var("LB_CONFIG").ok()).ok_or(CliError::NoConfiguration)?;
     Ok((Config::read(&path)?, path))
 }
 
-/// The operator's file: as stated, else where $YEWPIER_OPERATOR says, else one in which all is off.
-fn operator(path: Option<String>) -> Result<File, String> {
-    match path.or_else(|| std::env::var("YEWPIER_OPERATOR").ok()) {
+/// Reads the operator's file from `path`, or else from where `$YEWPIER_OPERATOR` says. Without either, everything that
+/// the file could enable is off.
+fn read_operator_file(path: Option<String>) -> Result<File, CliError> {
+    let file = match path.or_else(|| std::env::var("YEWPIER_OPERATOR").ok()) {
         Some(path) => File::read(&path),
         None => File::parse("no operator's file", ""),
-    }
+    };
+    file.map_err(CliError::operator_file)
 }
 
-/// Log lines go to standard error, in the form that the operator's file states.
-fn log_to_stderr(file: &mut File) -> Result<(), String> {
+/// Has log lines written to standard error, in the format that the operator's file states.
+fn log_to_stderr(file: &mut File) -> Result<(), CliError> {
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false);
-    match file.log_format()? {
+    match file.log_format().map_err(CliError::operator_file)? {
         LogFormat::Text => log.without_time().init(),
         LogFormat::Json => log.json().init(),
     }
@@ -54,16 +57,16 @@
 
 fn main() -> ExitCode {
     let args: Args = argh::from_env();
-    let done = match args.command {
+    let result = match args.command {
         Command::Serve(serve) => serve.run(),
         Command::Control(control) => control.run(),
         Command::Check(check) => check.run(),
         Command::Version(version) => version.run(),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(why) => {
-            eprintln!("query-router: {why}");
+        Err(error) => {
+            eprintln!("query-router: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,6 @@
-use crate::{log_to_stderr, operator, platform};
+//! The sub-command `serve`.
+
+use crate::{CliError, log_to_stderr, read_configuration, read_operator_file};
 use argh::FromArgs;
 
 /// Serve on sockets until told to end.
@@ -14,10 +16,12 @@
 }
 
 impl Serve {
-    pub fn run(self) -> Result<(), String> {
-        let signals = query_router::install_signal_handlers().map_err(|e| e.to_string())?;
-        log_to_stderr(&mut operator(self.operator)?)?;
-        let (config, path) = platform(self.config)?;
-        query_router::serve(signals, config, path).map_err(|e| e.to_string())
+    /// Serves until a signal asks for the end.
+    pub fn run(self) -> Result<(), CliError> {
+        let signals = query_router::install_signal_handlers()?;
+        log_to_stderr(&mut read_operator_file(self.operator)?)?;
+        let (config, path) = read_configuration(self.config)?;
+        query_router::serve(signals, config, path)?;
+        Ok(())
     }
 }
--- a/crates/cli/src/version.rs
+++ b/crates/cli/src/version.rs
@@ -1,3 +1,6 @@
+//! The sub-command `version`.
+
+use crate::CliError;
 use argh::FromArgs;
 
 /// Print the version.
@@ -6,7 +9,8 @@
 pub struct Version {}
 
 impl Version {
-    pub fn run(self) -> Result<(), String> {
+    /// Prints the name and the version of the program.
+    pub fn run(self) -> Result<(), CliError> {
         println!("query-router {}", env!("CARGO_PKG_VERSION"));
         Ok(())
     }
