--- /dev/null
+++ b/crates/cli/tests/loopback/resource_limits.rs
@@ -0,0 +1,103 @@
+//! Limits on sockets and memory: what waits or is rejected, and who is not affected.
+
+use crate::rig::{
+    DataNode, FullBacklogNode, LONG_DEADLINE, RouterProcess, config, discovery_with_node, frame,
+    start_with_node,
+};
+use std::time::Duration;
+use test_servers::Discovery;
+
+/// A router with sockets for discovery's watch and one client.
+fn start_with_two_sockets(name: &str, node: &DataNode) -> (RouterProcess, Discovery) {
+    let discovery = discovery_with_node(node.address);
+    let mut config = config(discovery.at, LONG_DEADLINE);
+    config["limits"]["sockets"] = 18.into();
+    // Attempts cannot be cancelled, so they end with their deadline.
+    config["settings"]["ceilings"]["cancelling"] = false.into();
+    (RouterProcess::start(name, &config), discovery)
+}
+
+#[test]
+fn disconnect_of_a_client_that_sent_much_is_noticed_while_its_query_waits() {
+    let node = FullBacklogNode::new();
+    let (router, _discovery) = start_with_node("much", node.address, LONG_DEADLINE);
+    let mut client = router.connect();
+    client.send_query("look", "t1", LONG_DEADLINE);
+    router.wait_for_counter("node_connections_opened", 1);
+    client.flood(&vec![b'x'; 8 << 20]);
+    drop(client);
+    router.wait_for_counter("queries_abandoned_by_client", 1);
+    let mut node_connection = node.accept();
+    router.terminate();
+    assert_eq!(node_connection.read_to_end(), b"");
+}
+
+#[test]
+fn incomplete_requests_leave_memory_to_others() {
+    let node = DataNode::new();
+    let discovery = discovery_with_node(node.address);
+    let mut config = config(discovery.at, LONG_DEADLINE);
+    config["limits"]["memory_mb"] = 4.into();
+    let router = RouterProcess::start("memory", &config);
+    router.wait_for_counter("endpoint_lists_full", 2);
+    // Each is within the limit of a request; 18 of them take over a quarter of the memory.
+    let incomplete_request =
+        format!("POST /api HTTP/1.1\r\nContent-Length: 61000\r\n\r\n{}", "x".repeat(60_000));
+    let mut clients: Vec<_> = (0..18).map(|_| router.connect()).collect();
+    router.wait_for_counter("client_connections_arrived", 18);
+    clients.iter_mut().for_each(|client| client.send(&incomplete_request));
+    router.wait_for_counter("requests_over_memory", 1);
+    let rejected = loop {
+        if let Some(index) = clients.iter().position(|client| client.has_response()) {
+            break index;
+        }
+        std::thread::yield_now();
+    };
+    let mut rejected = clients.remove(rejected);
+    assert_eq!(rejected.read_response().0, "HTTP/1.1 503 Service Unavailable");
+    assert!(rejected.read_to_end().is_empty());
+    let mut other = router.connect();
+    other.send_query("pay", "t1", LONG_DEADLINE);
+    let mut node_connection = node.accept();
+    assert_eq!(node_connection.read_frame().0, 'R');
+    node_connection.send(&frame(b'Y', "t1.0 OK 5 -\none"));
+    assert_eq!(other.read_response().0, "HTTP/1.1 200 OK");
+    // The other incomplete requests were kept until they were complete.
+    for client in &mut clients {
+        client.send(&"x".repeat(1_000));
+        assert_eq!(client.read_response().0, "HTTP/1.1 400 Bad Request");
+    }
+    assert_eq!(router.counter("requests_over_memory"), 1);
+    drop((clients, rejected, other));
+    router.terminate();
+}
+
+#[test]
+fn query_that_waits_for_a_socket_until_its_deadline_fails_alone() {
+    let node = DataNode::new();
+    let (router, _discovery) = start_with_two_sockets("socket", &node);
+    let mut client = router.connect();
+    for id in ["t1", "t2"] {
+        client.send_query("look", id, Duration::from_millis(300));
+        assert_eq!(client.read_response().0, "HTTP/1.1 503 Service Unavailable");
+    }
+    drop(client);
+    let log = router.terminate();
+    assert!(node.has_no_connection() && log.contains("attempts_not_sent 2\n"), "{log}");
+}
+
+#[test]
+fn query_whose_client_disconnected_while_it_waited_for_a_socket_ends_alone() {
+    let node = DataNode::new();
+    let (mut router, _discovery) = start_with_two_sockets("disconnected-socket", &node);
+    let mut client = router.connect();
+    client.send_query("look", "t1", LONG_DEADLINE);
+    router.wait_for_logged_counter("attempts_requested", 1);
+    drop(client);
+    let mut client = router.connect();
+    client.send_query("look", "t2", Duration::from_millis(300));
+    assert_eq!(client.read_response().0, "HTTP/1.1 503 Service Unavailable");
+    drop(client);
+    let log = router.terminate();
+    assert!(node.has_no_connection() && log.contains("queries_abandoned_by_client 1\n"), "{log}");
+}
--- /dev/null
+++ b/crates/cli/tests/loopback/rig/mod.rs
@@ -0,0 +1,58 @@
+//! The router as a process, and the other ends of its connections, which hold back, cut or send what a test says.
+
+mod client;
+mod config_file;
+mod data_node;
+mod discovery;
+mod router_process;
+
+pub use client::{Client, query};
+pub use config_file::BlockingConfigFile;
+pub use data_node::{DataNode, FullBacklogNode, frame};
+pub use discovery::ScriptedDiscovery;
+pub use router_process::RouterProcess;
+
+use data_node::accept;
+use serde_json::{Value as Json, json};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::time::Duration;
+use test_servers::{Discovery, member};
+
+/// How long a test waits for something before it fails.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+
+/// A deadline that no test reaches.
+pub const LONG_DEADLINE: Duration = Duration::from_secs(20);
+
+/// A configuration with this discovery and two service classes of this deadline: `look`, which is idempotent, and
+/// `pay`, which is not.
+pub fn config(discovery: SocketAddr, deadline: Duration) -> Json {
+    let class = |name: &str, idempotency: &str| json!({"name": name, "idempotency": idempotency, "deadlineNs": deadline.as_nanos() as u64});
+    json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "2a",
+        "limits": {"sockets": 64}, "known": {"revision": 7, "complete": true, "members": []},
+        "settings": {"tickNs": 0, "registryMode": "ask", "zones": ["z"], "zone": 0,
+            "familyInfo": {"sets": 1, "shards": 8, "width": 1, "bundleMax": 4},
+            "ceilings": {"maxAttempts": 3, "maxStreams": 8, "cancelling": true,
+                "connectTimeoutNs": 20_000_000_000u64, "idleCloseNs": 90_000_000_000u64},
+            "obligations": {"askWithinNs": 60_000_000_000u64, "drainGraceNs": 500_000_000},
+            "services": [class("look", "read_like"), class("pay", "non_idempotent")]}})
+}
+
+/// A discovery that lists one node, which is ready.
+pub fn discovery_with_node(node: SocketAddr) -> Discovery {
+    Discovery::start(8, vec![member("a", &node.to_string(), "z", 0, "ready", 0)])
+}
+
+/// A router with one node, once it knows that node.
+pub fn start_with_node(name: &str, node: SocketAddr, deadline: Duration) -> (RouterProcess, Discovery) {
+    let discovery = discovery_with_node(node);
+    let router = RouterProcess::start(name, &config(discovery.at, deadline));
+    router.wait_for_counter("endpoint_lists_full", 2);
+    (router, discovery)
+}
+
+/// The path of a configuration file for the test of this name.
+fn config_path(test_name: &str) -> PathBuf {
+    std::env::temp_dir().join(format!("yewpier-{test_name}-{}.json", std::process::id()))
+}
--- /dev/null
+++ b/crates/cli/tests/loopback/serving.rs
@@ -0,0 +1,107 @@
+//! Whole queries, from the first request to the exit of the router.
+
+use crate::rig::{Client, RouterProcess};
+use rustix::process::Signal;
+use serde_json::{Value as Json, json};
+use test_servers::{Discovery, data_node, member};
+
+/// The number of shards, each of which every query asks for.
+const SHARDS: usize = 8;
+
+fn start(test_name: &str, discovery: &Discovery) -> RouterProcess {
+    let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.at, "seed": "2a",
+        "limits": {"sockets": 64}, "known": {"revision": 7, "complete": true, "members": []},
+        "settings": {"tickNs": 5_000_000, "registryMode": "ask", "zones": ["z"],
+            "familyInfo": {"sets": 1, "shards": SHARDS, "width": 1, "bundleMax": 4},
+            "ceilings": {"maxAttempts": 1, "maxStreams": 8, "connectTimeoutNs": 250_000_000u64,
+                "idleCloseNs": 30_000_000_000u64},
+            "obligations": {"askWithinNs": 10_000_000_000u64},
+            "services": [{"name": "look", "idempotency": "read_like", "deadlineNs": 20_000_000_000u64}]}});
+    RouterProcess::start(test_name, &config)
+}
+
+/// The header fields of a query.
+fn query_headers(id: &str) -> String {
+    format!("X-Qos: look\r\nX-Trace-Id: {id}\r\nX-Expires-In-Ms: 20000\r\n")
+}
+
+/// The body of a query for all shards.
+fn query_body() -> String {
+    let segments: Vec<String> =
+        (0..SHARDS).map(|shard| format!("{{\"segment\":{shard},\"boost\":0.125}}")).collect();
+    format!("{{\"segments\":[{}],\"text\":\"q\"}}", segments.join(","))
+}
+
+/// Shuts the router down with an idle client, which it closes without sending anything. Returns the counters.
+fn terminate(router: RouterProcess, mut client: Client) -> String {
+    router.signal(Signal::TERM);
+    assert!(client.read_to_end().is_empty());
+    drop(client);
+    router.wait_for_exit()
+}
+
+#[test]
+fn list_of_over_a_thousand_nodes_is_served_from() {
+    let node = data_node().to_string();
+    let members = (0..1_030).map(|i| member(&format!("node-{i:08}"), &node, "z", 0, "ready", 0));
+    let discovery = Discovery::start(8, members.collect());
+    let router = start("many", &discovery);
+    let mut client = router.connect();
+    for id in ["t1", "t2"] {
+        let (headers, body) = (query_headers(id), query_body());
+        client.send(&format!("POST /api HTTP/1.1\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()));
+        assert_eq!(client.read_response().0, "HTTP/1.1 200 OK");
+    }
+    let counters = terminate(router, client);
+    for line in [
+        "queries_complete 2\n",
+        "endpoint_lists_invalid 0\n",
+        "discovery_failures 0\n",
+        "invariants_violated 0\n",
+    ] {
+        assert!(counters.contains(line), "{line}{counters}");
+    }
+}
+
+#[test]
+fn router_serves_until_it_is_terminated() {
+    let discovery = Discovery::start(8, vec![member("a", &data_node().to_string(), "z", 0, "ready", 0)]);
+    let mut router = start("one", &discovery);
+    let mut client = router.connect();
+    client.send("GET /-/ready HTTP/1.1\r\n\r\n");
+    assert_eq!(client.read_response(), ("HTTP/1.1 200 OK".to_string(), "OK\n".to_string()));
+
+    // A configuration that cannot be read any more changes nothing.
+    router.signal(Signal::HUP);
+    let line = router.read_log_line();
+    assert!(line.contains("the configuration stays as it was"), "{line}");
+
+    // Eight shard requests make two batches or more. The first head comes in pieces; the second request follows at once,
+    // with its body in chunks.
+    let body = query_body();
+    client.send("POST /api HT");
+    let headers = query_headers("t1");
+    client.send(&format!("TP/1.1\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()));
+    let (first_chunk, last_chunk) = body.split_at(9);
+    let head = format!("POST /api HTTP/1.1\r\n{}Transfer-Encoding: chunked\r\n\r\n", query_headers("t2"));
+    let last_length = last_chunk.len();
+    client.send(&format!("{head}9\r\n{first_chunk}\r\n{last_length:x}\r\n{last_chunk}\r\n0\r\n\r\n"));
+    for _ in 0..2 {
+        assert_is_complete(client.read_response());
+    }
+
+    let counters = terminate(router, client);
+    assert!(
+        counters.contains("queries_complete 2\n") && counters.contains("invariants_violated 0\n"),
+        "{counters}"
+    );
+}
+
+/// Asserts that a response holds the value of every shard, in order.
+fn assert_is_complete((status, body): (String, String)) {
+    let json: Json = serde_json::from_str(&body).expect("JSON");
+    assert_eq!((status.as_str(), &json["all_in"]), ("HTTP/1.1 200 OK", &true.into()));
+    let matches = json["matches"].as_array().expect("a list");
+    let values = matches.iter().map(|entry| entry["payload"].to_string());
+    assert!(values.eq((0..SHARDS).map(|shard| format!("\"q/{shard}\""))), "{body}");
+}
