--- a/crates/query-router/src/config/tests.rs
+++ b/crates/query-router/src/config/tests.rs
@@ -2,22 +2,33 @@
 
 use super::*;
 
-#[test]
-fn configuration_is_read_and_errors_name_the_field() {
-    let valid = serde_json::json!({"name": "r0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
+fn valid_config() -> Json {
+    serde_json::json!({"name": "r0", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2",
         "seed": "8c1f30d27a5be964", "limits": {"sockets": 64, "memory_mb": 48}, "known": {"members": []},
         "settings": {"services": [{"name": "look", "idempotency": "read_like", "deadlineNs": 1e9}],
             "familyInfo": {"sets": 1, "shards": 1, "width": 1, "bundleMax": 1},
-            "ceilings": {"maxStreams": 1, "connectTimeoutNs": 1e6, "idleCloseNs": 1e9}}});
-    let config = Config::parse(&valid.to_string()).expect("valid");
+            "ceilings": {"maxStreams": 1, "connectTimeoutNs": 1e6, "idleCloseNs": 1e9}}})
+}
+
+#[test]
+fn valid_configuration_is_read() {
+    let config = Config::parse(&valid_config().to_string()).expect("valid");
     assert_eq!((config.seed, config.max_sockets), (0x8c1f30d27a5be964, 64));
     assert_eq!(config.max_memory_bytes, Some(48 << 20));
+}
+
+#[test]
+fn memory_limit_may_be_absent_or_a_fraction_of_a_mebibyte() {
     for (stated, max_memory_bytes) in [(Json::Null, None), (1.5.into(), Some(3 << 19))] {
-        let mut config = valid.clone();
+        let mut config = valid_config();
         config["limits"]["memory_mb"] = stated;
         let config = Config::parse(&config.to_string()).expect("valid");
         assert_eq!(config.max_memory_bytes, max_memory_bytes);
     }
+}
+
+#[test]
+fn error_names_the_field_that_is_missing_or_wrong() {
     for (path, value, field) in [
         ("/name", Json::Null, "name"),
         ("/listen", "nowhere".into(), "listen"),
@@ -31,10 +42,29 @@
         ("/settings/familyInfo/shards", Json::Null, "familyInfo.shards"),
         ("/settings", 1.into(), "settings"),
     ] {
-        let mut invalid = valid.clone();
+        let mut invalid = valid_config();
         *invalid.pointer_mut(path).expect("a field") = value;
         let error = Config::parse(&invalid.to_string()).expect_err(path).to_string();
         assert!(error.contains(field), "{path}: {error}");
     }
+}
+
+#[test]
+fn error_says_what_is_stated_and_what_is_expected() {
+    let mut config = valid_config();
+    config["limits"]["memory_mb"] = "48".into();
+    let error = Config::parse(&config.to_string()).expect_err("a text is no number");
+    assert_eq!(error.to_string(), "limits/memory_mb: \"48\" is not a positive number");
+}
+
+#[test]
+fn text_that_is_not_json_is_rejected() {
     assert!(matches!(Config::parse("{"), Err(ConfigError::NotJson(_))));
 }
+
+#[test]
+fn error_of_a_file_names_its_path() {
+    let error = Config::read("/nonexistent/router.json").expect_err("there is no such file");
+    assert!(matches!(error, ConfigFileError::Unreadable { .. }));
+    assert!(error.to_string().starts_with("/nonexistent/router.json: "), "{error}");
+}
--- a/crates/query-router/src/protocol/frames/tests.rs
+++ b/crates/query-router/src/protocol/frames/tests.rs
@@ -19,9 +19,22 @@
 }
 
 #[test]
-fn malformed_frames_and_responses_are_rejected() {
+fn frame_of_an_impossible_length_is_rejected() {
     assert_eq!(parse(&[0, 0, 0, 0, 1]), Err(FrameError::InvalidLength(0)));
     assert_eq!(parse(&[0x10, 0, 0, 0]), Err(FrameError::InvalidLength(0x1000_0000)));
+}
+
+#[test]
+fn frame_is_rejected_as_soon_as_it_is_known_to_be_of_no_use() {
+    assert_eq!(parse(&[0, 0, 0, 9, 1]), Err(FrameError::UnknownKind(1)));
+    let endless_line = [&[0, 1, 0, 0, b'Y'], &[b'x'; MAX_LINE_BYTES][..]].concat();
+    assert_eq!(parse(&endless_line), Err(FrameError::LineTooLong));
+    let short_lines = [&[0, 1, 0, 0, b'Y'], &b"x\n".repeat(MAX_LINE_BYTES)[..]].concat();
+    assert_eq!(parse(&short_lines), Ok(None));
+}
+
+#[test]
+fn malformed_response_is_rejected_with_the_part_that_is_wrong() {
     for (payload, part) in [
         (&b"t.3 OK 17 -"[..], ResponsePart::Line),
         (b"t.3 MAYBE 17 -\n", ResponsePart::Status),
@@ -34,12 +47,6 @@
     ] {
         assert_eq!(ShardResponse::parse(payload), Err(FrameError::InvalidResponse(part)), "{payload:?}");
     }
-    // Nothing more needs to come to know that it is of no use.
-    assert_eq!(parse(&[0, 0, 0, 9, 1]), Err(FrameError::UnknownKind(1)));
-    let endless_line = [&[0, 1, 0, 0, b'Y'], &[b'x'; MAX_LINE_BYTES][..]].concat();
-    assert_eq!(parse(&endless_line), Err(FrameError::LineTooLong));
-    let short_lines = [&[0, 1, 0, 0, b'Y'], &b"x\n".repeat(MAX_LINE_BYTES)[..]].concat();
-    assert_eq!(parse(&short_lines), Ok(None));
 }
 
 #[test]
--- a/crates/query-router/src/protocol/http/tests.rs
+++ b/crates/query-router/src/protocol/http/tests.rs
@@ -66,3 +66,34 @@
     assert_eq!(parse_response_head(b"HTTP/1.1 200 OK\r\n"), Ok(None));
     assert!(parse_response_head(b"N\r\n\r\n").is_err());
 }
+
+#[test]
+fn head_of_a_response_is_encoded_with_its_optional_fields() {
+    let head = OutgoingHead {
+        status: 503,
+        content_type: "text/plain",
+        content_length: 9,
+        retry_after_seconds: Some(0.25),
+        closes_connection: true,
+    };
+    let start = "HTTP/1.1 503 Service Unavailable\r\nContent-Type: text/plain\r\nContent-Length: 9\r\n";
+    assert_eq!(head.encode(), format!("{start}Retry-After: 0.250\r\nConnection: close\r\n\r\n"));
+    let head = OutgoingHead { retry_after_seconds: None, closes_connection: false, ..head };
+    assert_eq!(head.encode(), format!("{start}\r\n"));
+}
+
+#[test]
+fn texts_of_errors_are_the_bodies_that_clients_get() {
+    for (error, status, text) in [
+        (HttpError::MalformedHead, 400, "the head is malformed"),
+        (HttpError::HeadTooLarge, 431, "the head is too large"),
+        (HttpError::InvalidContentLength, 400, "Content-Length is not a whole number"),
+        (HttpError::UnsupportedTransferEncoding, 501, "only the transfer encoding 'chunked' is known"),
+        (HttpError::ConflictingBodyLength, 400, "the body's length is stated twice"),
+        (HttpError::MalformedChunks, 400, "the body's chunks are malformed"),
+        (HttpError::ChunkTooLong, 413, "a chunk is too long"),
+        (HttpError::BodyTooLarge, 413, "the body is over 64 KiB"),
+    ] {
+        assert_eq!((error.status(), error.to_string().as_str()), (status, text));
+    }
+}
--- a/crates/query-router/src/protocol/query_request/tests.rs
+++ b/crates/query-router/src/protocol/query_request/tests.rs
@@ -51,3 +51,23 @@
         assert!(error.contains(field), "{body}: {error}");
     }
 }
+
+#[test]
+fn texts_of_errors_are_the_bodies_that_clients_get() {
+    for (error, text) in [
+        (QueryRequestError::InvalidTraceId, "X-Trace-Id is missing or not a plain word"),
+        (QueryRequestError::UnknownServiceClass, "X-Qos names no known service class"),
+        (QueryRequestError::UnknownTenant, "X-Customer names no known customer"),
+        (QueryRequestError::InvalidDeadline, "X-Expires-In-Ms is missing or not a positive whole number"),
+        (QueryRequestError::NotJson, "the body is not JSON"),
+        (QueryRequestError::InvalidSegments, "segments is missing or not a list of parts"),
+        (QueryRequestError::UnknownShard, "a segment's number names no known shard"),
+        (QueryRequestError::DuplicateShard, "a segment is named twice"),
+        (QueryRequestError::InvalidWeight, "a segment's boost is missing or not a share"),
+        (QueryRequestError::InvalidWork, "a segment's work is not a time"),
+        (QueryRequestError::InvalidTotalWeight, "the segments' boosts do not add up to 1"),
+        (QueryRequestError::InvalidText, "text is missing or not a text"),
+    ] {
+        assert_eq!(error.to_string(), text);
+    }
+}
