--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -104,6 +104,7 @@
         unchanged.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect()
     }
 
+    /// Says which setting the router cannot serve with.
     fn check_settings(&self) -> Result<(), ConfigError> {
         let classes = names_in_list(&self.settings, "class");
         if classes.is_empty() {
@@ -120,6 +121,7 @@
         Ok(())
     }
 
+    /// Says why queries of a service class cannot be served.
     fn check_service_class(&self, index: usize, class: String) -> Result<(), ConfigError> {
         let number = |setting: &str| self.settings.number(&format!("class.{index}.{setting}"));
         if number("deadline_us").is_none_or(|deadline| deadline <= 0.0) {
--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -16,10 +16,16 @@
     /// All queued output is written.
     Flushed(ConnectionId),
     /// The connection is closed.
-    Ended { connection: ConnectionId, written_bytes: u64 },
+    Ended {
+        /// The id that the connection had.
+        connection: ConnectionId,
+        /// How many bytes were written on it in all.
+        written_bytes: u64,
+    },
 }
 
 impl PendingEvent {
+    /// The connection that the event is about.
     fn connection(&self) -> ConnectionId {
         match self {
             PendingEvent::ReadAgain(connection) | PendingEvent::Flushed(connection) => *connection,
@@ -60,6 +66,7 @@
         }
     }
 
+    /// Carries out one effect. What follows from it is queued and reported later.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Adopt(connection) => {
@@ -158,6 +165,7 @@
         self.pending_events.push_back(PendingEvent::Ended { connection, written_bytes: 0 });
     }
 
+    /// Removes a connection from the event loop; it is closed once the socket is dropped.
     fn remove_socket(&mut self, connection: ConnectionId) -> Option<Socket> {
         let socket = self.sockets.get_mut(connection)?.take()?;
         self.handle.remove(socket.token());
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -33,6 +33,7 @@
     enabled: bool,
     /// Until when the listener stays paused because accepting failed; 0 if it did not fail last time.
     retry_at: Micros,
+    /// Streams that the router has not taken yet.
     accepted: VecDeque<TcpStream>,
 }
 
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -205,6 +205,7 @@
         self.read_in_next_iteration(connection);
     }
 
+    /// Closes a connection whose end was read.
     fn close_after_reading(&mut self, connection: ConnectionId) {
         self.close_and_report(connection);
         self.carry_out_effects();
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -84,7 +84,9 @@
     state: ConnectState,
     /// Whether the last read stopped because the input buffer was full.
     input_full: bool,
+    /// What was received and not consumed.
     input: Vec<u8>,
+    /// What is to be written, in order.
     output: VecDeque<Piece>,
     /// How many bytes of the first output piece are written.
     piece_offset: usize,
@@ -202,6 +204,7 @@
         WriteOutcome::Flushed
     }
 
+    /// Writes the first pieces of the output in one system call. Returns how many bytes were written.
     fn write_once(&self) -> std::io::Result<usize> {
         let pieces = self.output.iter().take(MAX_PIECES_PER_WRITE).enumerate();
         let unwritten =
--- a/crates/query-router/src/protocol/frames.rs
+++ b/crates/query-router/src/protocol/frames.rs
@@ -134,6 +134,7 @@
     Ok(Some(Frame { kind, payload, encoded_length: LENGTH_BYTES + length }))
 }
 
+/// Whether the line of a response is known to be over the limit.
 fn has_endless_line(received: &[u8]) -> bool {
     received.len() > MAX_LINE_BYTES && !received[..MAX_LINE_BYTES].contains(&b'\n')
 }
@@ -189,6 +190,7 @@
     std::str::from_utf8(bytes).ok()
 }
 
+/// The outcome that a node states.
 fn outcome_of_status(status: &[u8]) -> Option<AttemptOutcome> {
     match status {
         b"OK" => Some(AttemptOutcome::Succeeded),
--- a/crates/query-router/src/protocol/http/chunked.rs
+++ b/crates/query-router/src/protocol/http/chunked.rs
@@ -73,6 +73,7 @@
         }
     }
 
+    /// Decodes the line with a chunk's size, and behind the last one the trailer.
     fn decode_size(&mut self, bytes: &[u8]) -> Result<Step, HttpError> {
         match httparse::parse_chunk_size(bytes) {
             Ok(Status::Complete((line, 0))) => decode_trailer(bytes, line),
@@ -88,6 +89,7 @@
         }
     }
 
+    /// Passes on what has come of a chunk's data.
     fn decode_data(&mut self, bytes: &[u8], remaining: u64, on_data: &mut dyn FnMut(&[u8])) -> Step {
         if remaining == 0 {
             self.state = ChunkState::DataEnd;
@@ -102,6 +104,7 @@
         Step::Consumed(data.len())
     }
 
+    /// Decodes the line end behind a chunk's data.
     fn decode_data_end(&mut self, bytes: &[u8]) -> Result<Step, HttpError> {
         match bytes.get(..2) {
             None => Ok(Step::Incomplete),
--- a/crates/query-router/src/protocol/http/request.rs
+++ b/crates/query-router/src/protocol/http/request.rs
@@ -68,6 +68,7 @@
     }
 }
 
+/// The request without its body.
 fn request_from_head<'a>(head: &httparse::Request<'_, 'a>) -> Request<'a> {
     let mut request = Request {
         method: head.method.unwrap_or(""),
@@ -94,6 +95,7 @@
     request
 }
 
+/// Adds a body of a stated length, or returns `None` until it is complete.
 fn with_plain_body<'a>(
     request: Request<'a>, bytes: &'a [u8], body_start: usize, length: usize,
 ) -> Option<Request<'a>> {
@@ -102,6 +104,7 @@
     Some(Request { body: Cow::Borrowed(body), encoded_length: body_end, ..request })
 }
 
+/// Adds a body in chunks, or returns `None` until it is complete.
 fn with_chunked_body<'a>(
     request: Request<'a>, bytes: &[u8], body_start: usize,
 ) -> Result<Option<Request<'a>>, HttpError> {
--- a/crates/query-router/src/protocol/json_stream.rs
+++ b/crates/query-router/src/protocol/json_stream.rs
@@ -99,6 +99,7 @@
         Ok(JsonStreamItem::Incomplete)
     }
 
+    /// Scans a byte between objects.
     fn scan_between(&mut self, byte: u8) -> Result<Option<JsonStreamItem>, JsonStreamError> {
         match byte {
             b'\n' => Ok(Some(JsonStreamItem::BlankLine)),
@@ -113,6 +114,7 @@
         }
     }
 
+    /// Scans a byte of an object outside its strings. Returns the object if it ends there.
     fn scan_inside(&mut self, byte: u8, depth: usize) -> Option<JsonStreamItem> {
         self.state = match byte {
             b'"' => ScanState::InString { depth },
