--- a/crates/query-router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -213,16 +213,15 @@
         let framing = match call.framing {
             Some(framing) => framing,
             None => {
-                let Some(http::ResponseHead { status, length, framing }) = http::parse_response_head(bytes)?
-                else {
+                let Some(head) = http::parse_response_head(bytes)? else {
                     return Ok((0, false));
                 };
                 // Down, or too busy: its body is of no use, and what has no framing ends as a call that failed.
-                if status != 200 {
+                if head.status != 200 {
                     return Ok((bytes.len(), true));
                 }
-                at = length;
-                *call.framing.insert(framing)
+                at = head.length;
+                *call.framing.insert(head.framing)
             }
         };
         let (watch, body, objects) = (call.watch, &mut call.body, &mut call.objects);
--- a/crates/query-router/src/protocol/http/mod.rs
+++ b/crates/query-router/src/protocol/http/mod.rs
@@ -13,7 +13,7 @@
 pub use error::HttpError;
 pub use framing::BodyFraming;
 pub use request::{Request, expects_continue, parse_request};
-pub use response::{OutgoingHead, ResponseHead, parse_response_head};
+pub use response::{OutgoingHead, parse_response_head};
 
 /// The protocol's limit on a body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
--- a/crates/query-router/src/protocol/http/tests.rs
+++ b/crates/query-router/src/protocol/http/tests.rs
@@ -1,5 +1,6 @@
 //! Requests and responses: what is read of their bytes, and what is rejected.
 
+use super::response::ResponseHead;
 use super::*;
 
 const HEAD: &str = "POST /api HTTP/1.1\r\nx-qos: look\r\nX-Trace-Id: t1\r\nX-Expires-In-Ms: 480\r\n";
