--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! The command line: the query router, the control plane, and a check of their configuration. Each sub-command has a
-//! file of its own.
+//! The command line: the query router, the control plane, and a check of their configuration. Each
+//! sub-command has a file of its own.
 
 mod check;
 mod control;
@@ -29,14 +29,15 @@
     Version(version::Version),
 }
 
-/// Reads the platform's configuration from `path`, or else from where `$LB_CONFIG` says. Returns it with its path.
+/// Reads the platform's configuration from `path`, or else from where `$LB_CONFIG` says. Returns it with its
+/// path.
 fn read_configuration(path: Option<String>) -> Result<(Config, String), CliError> {
     let path = path.or_else(|| std::env::var("LB_CONFIG").ok()).ok_or(CliError::NoConfiguration)?;
     Ok((Config::read(&path)?, path))
 }
 
-/// Reads the operator's file from `path`, or else from where `$YEWPIER_OPERATOR` says. Without either, everything that
-/// the file could enable is off.
+/// Reads the operator's file from `path`, or else from where `$YEWPIER_OPERATOR` says. Without either,
+/// everything that the file could enable is off.
 fn read_operator_file(path: Option<String>) -> Result<File, CliError> {
     let file = match path.or_else(|| std::env::var("YEWPIER_OPERATOR").ok()) {
         Some(path) => File::read(&path),
--- a/crates/cli/tests/known_red.rs
+++ b/crates/cli/tests/known_red.rs
@@ -1,4 +1,5 @@
-//! How the checks read KNOWN-RED.txt: at most three tests are skipped, each by its exact name, and they are printed.
+//! How the checks read KNOWN-RED.txt: at most three tests are skipped, each by its exact name, and they are
+//! printed.
 
 use std::path::Path;
 use std::process::Command;
--- a/crates/cli/tests/loopback/main.rs
+++ b/crates/cli/tests/loopback/main.rs
@@ -1,5 +1,5 @@
-//! The program as it is started, on real connections: tests of whole queries, and tests that each force one order of
-//! events which is rare otherwise.
+//! The program as it is started, on real connections: tests of complete queries, and tests that each force
+//! one order of events which is rare otherwise.
 
 mod discovery;
 mod node_connections;
--- a/crates/cli/tests/loopback/rig/config_file.rs
+++ b/crates/cli/tests/loopback/rig/config_file.rs
@@ -6,7 +6,8 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// A named pipe in place of a configuration file: the router blocks in its reading until the test has written.
+/// A named pipe in place of a configuration file: the router blocks in its reading until the test has
+/// written.
 pub struct BlockingConfigFile(PathBuf);
 
 impl BlockingConfigFile {
--- a/crates/cli/tests/loopback/rig/data_node.rs
+++ b/crates/cli/tests/loopback/rig/data_node.rs
@@ -32,7 +32,8 @@
         accept(&self.listener)
     }
 
-    /// Lets the next connection be established; those after it wait again as long as the returned stream lives.
+    /// Lets the next connection be established; those after it wait again as long as the returned stream
+    /// lives.
     pub fn accept_one(&self) -> (NodeConnection, TcpStream) {
         let connection = self.accept();
         (connection, TcpStream::connect(self.address).expect("the one that fits"))
--- a/crates/cli/tests/loopback/rig/mod.rs
+++ b/crates/cli/tests/loopback/rig/mod.rs
@@ -1,4 +1,5 @@
-//! The router as a process, and the other ends of its connections, which hold back, cut or send what a test says.
+//! The router as a process, and the other ends of its connections, which hold back, cut or send what a test
+//! says.
 
 mod client;
 mod config_file;
@@ -25,8 +26,8 @@
 /// A deadline that no test reaches.
 pub const LONG_DEADLINE: Duration = Duration::from_secs(20);
 
-/// A configuration with this discovery and two service classes of this deadline: `look`, which is idempotent, and
-/// `pay`, which is not.
+/// A configuration with this discovery and two service classes of this deadline: `look`, which is idempotent,
+/// and `pay`, which is not.
 pub fn config(discovery: SocketAddr, deadline: Duration) -> Json {
     let class = |name: &str, idempotency: &str| json!({"name": name, "idempotency": idempotency, "deadlineNs": deadline.as_nanos() as u64});
     json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "2a",
--- a/crates/cli/tests/loopback/rig/router_process.rs
+++ b/crates/cli/tests/loopback/rig/router_process.rs
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Waits until a counter has at least this value, as the router logs it on SIGUSR1: no connection is needed.
+    /// Waits until a counter has at least this value, as the router logs it on SIGUSR1: no connection is
+    /// needed.
     pub fn wait_for_logged_counter(&mut self, name: &str, minimum: u64) {
         let started = Instant::now();
         let mut last_value: Option<u64> = None;
--- a/crates/cli/tests/loopback/serving.rs
+++ b/crates/cli/tests/loopback/serving.rs
@@ -1,4 +1,4 @@
-//! Whole queries, from the first request to the exit of the router.
+//! Complete queries, from the first request to the exit of the router.
 
 use crate::rig::{Client, RouterProcess};
 use rustix::process::Signal;
@@ -76,8 +76,8 @@
     let line = router.read_log_line();
     assert!(line.contains("the configuration stays as it was"), "{line}");
 
-    // Eight shard requests make two batches or more. The first head comes in pieces; the second request follows at once,
-    // with its body in chunks.
+    // Eight shard requests make two batches or more. The first head comes in pieces; the second request
+    // follows at once, with its body in chunks.
     let body = query_body();
     client.send("POST /api HT");
     let headers = query_headers("t1");
--- a/crates/cli/tests/loopback/shutdown.rs
+++ b/crates/cli/tests/loopback/shutdown.rs
@@ -21,7 +21,8 @@
     let mut readiness_check = router.connect();
     readiness_check.send("GET /-/ready HTTP/1.1\r\n\r\n");
     assert_eq!(readiness_check.read_response().0, "HTTP/1.1 503 Service Unavailable");
-    // The node reads the request and never answers. The deadline is 20 s; the process may be killed after 3.7 s.
+    // The node reads the request and never answers. The deadline is 20 s; the process may be killed after 3.7
+    // s.
     let started = Instant::now();
     client.send(&request[40..]);
     let mut node_connection = node.accept();
--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -127,7 +127,8 @@
         if number("deadline_us").is_none_or(|deadline| deadline <= 0.0) {
             return Err(ConfigError::InvalidDeadline { class });
         }
-        // Without the client's key a node cannot recognize a repeated request, and the protocol has no field for it.
+        // Without the client's key a node cannot recognize a repeated request, and the protocol has no field
+        // for it.
         if self.settings.text(&format!("class.{index}.idempotency")) == "idempotency_key" {
             return Err(ConfigError::UnsupportedIdempotencyKey { class });
         }
--- a/crates/query-router/src/counters.rs
+++ b/crates/query-router/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of what was received, sent and answered, and of invariants that did not hold. They are printed on SIGUSR1,
-//! at the exit, and under `/-/counters`.
+//! Counters of what was received, sent and answered, and of invariants that did not hold. They are printed on
+//! SIGUSR1, at the exit, and under `/-/counters`.
 
 use std::fmt::Write;
 
@@ -73,7 +73,8 @@
     attempts_malformed_response,
     /// Responses to shard requests that were not in flight on their connection.
     responses_late,
-    /// Frames that could not be parsed while a response was due, and notices that a node could not use a frame.
+    /// Frames that could not be parsed while a response was due, and notices that a node could not use a
+    /// frame.
     frames_malformed,
     /// Frames that could not be used while no response was due.
     frames_unexpected,
--- a/crates/query-router/src/event_loop/clock.rs
+++ b/crates/query-router/src/event_loop/clock.rs
@@ -3,7 +3,8 @@
 use balancer::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Time in Unix microseconds that never goes back: the system's time is read once, and monotonic time is added to it.
+/// Time in Unix microseconds that never goes back: the system's time is read once, and monotonic time is
+/// added to it.
 pub(super) struct Clock {
     /// The system's time at the start.
     started_at: Micros,
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -1,5 +1,5 @@
-//! The listening socket for clients. It is paused while an accepted stream waits for a free place, and for a short
-//! time after accepting failed.
+//! The listening socket for clients. It is paused while an accepted stream waits for a free place, and for a
+//! short time after accepting failed.
 
 use super::ServeError;
 use super::clock::Clock;
@@ -95,7 +95,8 @@
         }
     }
 
-    /// When the paused listener is to be resumed; `None` if it is not paused, or until the accepted stream is taken.
+    /// When the paused listener is to be resumed; `None` if it is not paused, or until the accepted stream is
+    /// taken.
     pub(super) fn resume_at(&self) -> Option<Micros> {
         (!self.enabled && self.accepted.is_empty()).then_some(self.retry_at)
     }
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: sockets, signals and the clock. It tells the router of events and carries out the effects that the
-//! router asks for; it decides nothing and does not interpret what is sent.
+//! The event loop: sockets, signals and the clock. It tells the router of events and carries out the effects
+//! that the router asks for; it decides nothing and does not interpret what is sent.
 
 mod clock;
 mod effects;
@@ -66,8 +66,8 @@
     exit: ExitState,
 }
 
-/// Serves queries until a signal asks for the end, then shuts down gracefully and prints the counters to standard error.
-/// On SIGHUP the configuration is read again from `config_path`.
+/// Serves queries until a signal asks for the end, then shuts down gracefully and prints the counters to
+/// standard error. On SIGHUP the configuration is read again from `config_path`.
 ///
 /// # Errors
 ///
@@ -149,9 +149,9 @@
         }
     }
 
-    /// Handles established connections before those that are being established. Guards against a request that goes out
-    /// on a connection established in this iteration, although its client left or its node began to drain in the same
-    /// iteration.
+    /// Handles established connections before those that are being established. Guards against a request that
+    /// goes out on a connection established in this iteration, although its client left or its node began to
+    /// drain in the same iteration.
     fn handle_ready_connections(&mut self) {
         let ready = std::mem::take(&mut self.ready);
         let (connected, connecting): (Vec<_>, Vec<_>) = ready
@@ -253,8 +253,8 @@
         self.carry_out_effects();
     }
 
-    /// Ends the loop if the router asked for it and still may. Guards against resetting a client that connected since
-    /// the listener was last looked at.
+    /// Ends the loop if the router asked for it and still may. Guards against resetting a client that
+    /// connected since the listener was last looked at.
     fn exit_if_requested(&mut self) {
         if self.exit == ExitState::Requested {
             self.accept_clients();
--- a/crates/query-router/src/event_loop/signals.rs
+++ b/crates/query-router/src/event_loop/signals.rs
@@ -25,12 +25,13 @@
     }
 }
 
-/// The blocked signals of the router, which [`serve`](super::serve) reads. Signals that arrive before are kept.
+/// The blocked signals of the router, which [`serve`](super::serve) reads. Signals that arrive before are
+/// kept.
 pub struct SignalSource(Signals);
 
-/// Blocks the signals that the router handles, so that they are kept until [`serve`](super::serve) reads them.
-/// Call it before anything else. Guards against a signal that arrives while the configuration is read ending the
-/// process by the system's default action.
+/// Blocks the signals that the router handles, so that they are kept until [`serve`](super::serve) reads
+/// them. Call it before anything else. Guards against a signal that arrives while the configuration is read
+/// ending the process by the system's default action.
 ///
 /// # Errors
 ///
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -1,5 +1,5 @@
-//! One non-blocking connection with its buffers. It reports what the system said; what follows from that is decided
-//! elsewhere.
+//! One non-blocking connection with its buffers. It reports what the system said; what follows from that is
+//! decided elsewhere.
 
 use crate::io::Piece;
 use crate::protocol::http::MAX_REQUEST_BYTES;
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -1,5 +1,5 @@
-//! The event loop on real connections. The tests run its iterations one by one, so that an event between two steps comes
-//! there each time.
+//! The event loop on real connections. The tests run its iterations one by one, so that an event between two
+//! steps comes there each time.
 
 use super::socket::Unread;
 use super::*;
@@ -134,7 +134,8 @@
 fn client_that_connects_while_the_exit_is_decided_is_answered() {
     let mut router = TestRouter::new();
     router.server.report_event(Event::Terminate);
-    // Runs up to the iteration in which idle connections are closed: there is no client, so the router asks to exit.
+    // Runs up to the iteration in which idle connections are closed: there is no client, so the router asks
+    // to exit.
     let is_due =
         |router: &TestRouter| router.server.wake_at.is_some_and(|at| at <= router.server.clock.now());
     while !is_due(&router) {
--- a/crates/query-router/src/protocol/frames.rs
+++ b/crates/query-router/src/protocol/frames.rs
@@ -1,4 +1,5 @@
-//! Frames between the router and data nodes: a length of four bytes, a letter that tells the kind, and a payload.
+//! Frames between the router and data nodes: a length of four bytes, a letter that tells the kind, and a
+//! payload.
 
 #[cfg(test)]
 mod tests;
@@ -116,8 +117,8 @@
 ///
 /// # Errors
 ///
-/// A [`FrameError`] as soon as it is known that the frame can never be used. Guards against waiting for the rest of a
-/// frame with an unknown letter or an endless line.
+/// A [`FrameError`] as soon as it is known that the frame can never be used. Guards against waiting for the
+/// rest of a frame with an unknown letter or an endless line.
 pub fn parse(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
     let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
@@ -168,8 +169,8 @@
     ///
     /// # Errors
     ///
-    /// [`FrameError::InvalidResponse`] with the part that cannot be used. No value holds control characters: one that
-    /// does has swallowed part of another frame, whose length begins with a zero.
+    /// [`FrameError::InvalidResponse`] with the part that cannot be used. No value holds control characters:
+    /// one that does has swallowed part of another frame, whose length begins with a zero.
     pub fn parse(payload: &'a [u8]) -> Result<ShardResponse<'a>, FrameError> {
         let invalid = FrameError::InvalidResponse;
         let line_end = payload.iter().position(|&byte| byte == b'\n').ok_or(invalid(ResponsePart::Line))?;
--- a/crates/query-router/src/protocol/http/chunked.rs
+++ b/crates/query-router/src/protocol/http/chunked.rs
@@ -46,8 +46,8 @@
         ChunkedDecoder { max_chunk_bytes, state: ChunkState::Size }
     }
 
-    /// Decodes `bytes` as far as possible and passes the data to `on_data`. Bytes that were not consumed must be given
-    /// again, with those that follow.
+    /// Decodes `bytes` as far as possible and passes the data to `on_data`. Bytes that were not consumed must
+    /// be given again, with those that follow.
     ///
     /// # Errors
     ///
--- a/crates/query-router/src/protocol/http/mod.rs
+++ b/crates/query-router/src/protocol/http/mod.rs
@@ -1,4 +1,5 @@
-//! HTTP/1.1 as the router speaks it: requests of clients, responses of discovery, and the heads of its own responses.
+//! HTTP/1.1 as the router speaks it: requests of clients, responses of discovery, and the heads of its own
+//! responses.
 
 mod chunked;
 mod error;
--- a/crates/query-router/src/protocol/json_stream.rs
+++ b/crates/query-router/src/protocol/json_stream.rs
@@ -1,4 +1,5 @@
-//! A stream of JSON objects as a watch sends them: one behind the other, each on one line or indented over many.
+//! A stream of JSON objects as a watch sends them: one behind the other, each on one line or indented over
+//! many.
 
 #[cfg(test)]
 mod tests;
@@ -134,8 +135,8 @@
     }
 }
 
-/// The state after a byte of a string. Guards against an object that was cut off and swallows all that follows: no
-/// string goes beyond its line.
+/// The state after a byte of a string. Guards against an object that was cut off and swallows all that
+/// follows: no string goes beyond its line.
 fn scan_string(byte: u8, depth: usize) -> Result<ScanState, JsonStreamError> {
     match byte {
         b'\\' => Ok(ScanState::InEscape { depth }),
