--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -4,12 +4,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The index of a data node.
-pub type Node = usize;
 /// The index of a connection; the reducer hands it out and may use it again once it was closed.
 pub type ConnectionId = usize;
 /// Bytes to be written, shared where several connections get the same.
-pub type Piece = Rc<[u8]>;
+pub type Bytes = Rc<[u8]>;
 
 #[derive(Debug)]
 pub enum Event<'a> {
@@ -44,10 +42,10 @@
     Taken(ConnectionId, usize),
     /// Tell once more what has been received and not taken.
     Read(ConnectionId),
-    Write(ConnectionId, Vec<Piece>),
+    Write(ConnectionId, Vec<Bytes>),
     /// The same, but nothing is written if the other side is known to have closed, or to have said something though
     /// nothing was `due` from it: `Event::Ended` follows.
-    Send(ConnectionId, Vec<Piece>, bool),
+    Send(ConnectionId, Vec<Bytes>, bool),
     /// Closed here if nothing has come in that is not read yet, and `Event::Ended` says so.
     Part(ConnectionId),
     /// No more is written, what comes is still read.
--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -1,19 +1,11 @@
 //! The query router on sockets: `serve` runs it until it is told to end. `docs/architecture.md` goes through
 //! it file by file; the binary `query-router` in `crates/cli` starts it.
 
-mod clients;
 pub mod config;
 mod counters;
-mod discovery;
 mod io;
-
-mod gather;
-
-mod links;
 mod protocol;
-
-mod reducer;
-mod scatter;
+mod router;
 mod serve;
 
 pub use serve::{Heeded, heed_signals, serve};
--- /dev/null
+++ b/crates/query-router/src/router/clients.rs
@@ -0,0 +1,397 @@
+//! Client connections: requests in, answers out, one at a time on each.
+
+use crate::config::{Config, numbered};
+use crate::counters::debug_invariant;
+use crate::io::{ConnectionId, Effect};
+use crate::protocol::http::{self, MAX_REQUEST_BYTES, Request};
+use crate::protocol::query_request::{QueryVocabulary, Segment};
+use crate::router::connection::Connection;
+use crate::router::connection::client::{ClientConnection, ClientState};
+use crate::router::context::Context;
+use crate::router::query_table::QueryTable;
+use balancer::{Completion, Micros, QueryArrival, QueryId};
+
+/// How long a new connection may stay without a request, as the operators state it.
+const FIRST_REQUEST_TIMEOUT: Micros = 2_000_000;
+/// How long a connection that was closed for writing is still read.
+const LINGER: Micros = 1_000_000;
+/// Incomplete requests of all clients may take up one part in so many of the memory.
+const UNCONSUMED_SHARE_OF_MEMORY: usize = 4;
+
+/// A query that was taken in.
+#[derive(Debug)]
+pub struct AcceptedQuery {
+    /// What the balancer is told of it.
+    pub arrival: QueryArrival,
+    /// What it asks of each shard.
+    pub segments: Vec<Segment>,
+}
+
+/// All client connections.
+pub struct Clients {
+    /// How many have connected and wait until a connection can be accepted.
+    pending_accepts: usize,
+    /// The longest deadline of any service class: how long a client may take to send or to read.
+    longest_deadline: Micros,
+    /// How many bytes were received from all clients and are not consumed, and how many there may be.
+    unconsumed: usize,
+    max_unconsumed: usize,
+    /// How many queries and shard requests may be open.
+    max_in_flight: Option<usize>,
+    vocabulary: QueryVocabulary,
+}
+
+impl Clients {
+    /// As the configuration says.
+    pub fn new(config: &Config) -> Clients {
+        let settings = &config.settings;
+        let classes = numbered(settings, "class");
+        let deadlines = (0..classes.len()).map(|class| config.micros(&format!("class.{class}.deadline_us")));
+        let max_in_flight = settings.number("limits.max_in_flight").map(|max| max as usize);
+        Clients {
+            pending_accepts: 0,
+            longest_deadline: deadlines.max().unwrap_or(0),
+            unconsumed: 0,
+            max_unconsumed: config.memory.map_or(usize::MAX, |bytes| bytes / UNCONSUMED_SHARE_OF_MEMORY),
+            max_in_flight: max_in_flight.filter(|&max| max > 0),
+            vocabulary: QueryVocabulary {
+                classes,
+                tenants: numbered(settings, "tenant"),
+                shards: config.whole("shards.count"),
+            },
+        }
+    }
+
+    /// The longest deadline of any service class.
+    pub fn longest_deadline(&self) -> Micros {
+        self.longest_deadline
+    }
+
+    /// A client has connected.
+    pub fn connected(&mut self, context: &mut Context) {
+        self.pending_accepts += 1;
+        context.counters.client_connections_arrived += 1;
+        self.accept_pending(context);
+        context.counters.client_connections_delayed += u64::from(self.pending_accepts > 0);
+    }
+
+    /// Accepts those that have connected, as far as the limit on descriptors allows.
+    pub fn accept_pending(&mut self, context: &mut Context) {
+        while self.pending_accepts > 0 {
+            let client = ClientConnection::new(context.now);
+            let Some(id) = context.open(Connection::Client(client)) else { return };
+            self.pending_accepts -= 1;
+            context.effects.push(Effect::Adopt(id));
+            let timeout = if context.shutdown.closes_idle() { LINGER } else { FIRST_REQUEST_TIMEOUT };
+            context.set_connection_timer(id, Some(context.now + timeout));
+            evict_surplus_idle(context);
+        }
+    }
+
+    /// Reads what a client has sent, a query if there is one.
+    pub fn received(
+        &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
+    ) -> Option<AcceptedQuery> {
+        self.set_unconsumed(context, id, bytes.len());
+        let is_over_memory = self.unconsumed > self.max_unconsumed;
+        let client = context.connections.client(id);
+        match client.state {
+            ClientState::ClosingIfIdle => client.state = ClientState::Idle,
+            // Guards against a client that sends much at once and goes: its end lies behind what is not read.
+            ClientState::AwaitingAnswer(_) | ClientState::SendingAnswer
+                if client.close_after_answer || is_over_memory || bytes.len() >= MAX_REQUEST_BYTES =>
+            {
+                client.close_after_answer = true;
+                self.consume(context, id, bytes.len());
+                return None;
+            }
+            ClientState::AwaitingAnswer(_) | ClientState::SendingAnswer => return None,
+            ClientState::HalfClosed => {
+                self.consume(context, id, bytes.len());
+                return None;
+            }
+            ClientState::New | ClientState::Idle | ClientState::ReceivingRequest => {}
+        }
+        match http::request(bytes) {
+            Ok(Some(request)) => {
+                client.close_after_answer = request.last;
+                self.consume(context, id, request.length);
+                context.set_connection_timer(id, None);
+                self.request(context, queries, id, &request)
+            }
+            Ok(None) if is_over_memory => {
+                client.close_after_answer = true;
+                context.counters.requests_over_memory += 1;
+                self.consume(context, id, bytes.len());
+                self.reply_line(context, id, 503, "too much has come of requests that are not whole");
+                None
+            }
+            Ok(None) => {
+                self.incomplete_request(context, id, bytes);
+                None
+            }
+            Err((status, reason)) => {
+                client.close_after_answer = true;
+                self.consume(context, id, bytes.len());
+                context.counters.requests_invalid += 1;
+                self.reply_line(context, id, status, reason);
+                None
+            }
+        }
+    }
+
+    /// A request has come in only in part.
+    fn incomplete_request(&self, context: &mut Context, id: ConnectionId, bytes: &[u8]) {
+        let client = context.connections.client(id);
+        if client.without_request() && !bytes.is_empty() {
+            client.state = ClientState::ReceivingRequest;
+            let answer_deadline = context.shutdown.answer_deadline().unwrap_or(Micros::MAX);
+            let deadline = answer_deadline.min(context.now + self.longest_deadline);
+            context.set_connection_timer(id, Some(deadline));
+        }
+        if http::waits(bytes) {
+            let interim = b"HTTP/1.1 100 Continue\r\n\r\n"[..].into();
+            context.effects.push(Effect::Write(id, vec![interim]));
+        }
+    }
+
+    /// Answers a request, unless it is a query.
+    fn request(
+        &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
+    ) -> Option<AcceptedQuery> {
+        let path = request.path.split('?').next().unwrap_or("");
+        let allowed_method = match path {
+            "/api" => "POST",
+            "/-/ready" | "/-/healthy" | "/-/counters" => "GET",
+            _ => {
+                self.reply_line(context, id, 404, "nothing is served under this path");
+                return None;
+            }
+        };
+        if request.method != allowed_method {
+            self.reply_line(context, id, 405, &format!("this path takes {allowed_method}"));
+            return None;
+        }
+        match path {
+            "/-/ready" if context.shutdown.has_begun() => self.reply_line(context, id, 503, "ending"),
+            "/-/counters" => {
+                let lines = context.counters.lines();
+                self.reply(context, id, 200, "text/plain", lines.into_bytes(), None);
+            }
+            "/api" => return self.accept_query(context, queries, id, request),
+            _ => self.reply_line(context, id, 200, "OK"),
+        }
+        None
+    }
+
+    /// Adds a query to those in progress, or rejects it.
+    fn accept_query(
+        &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
+    ) -> Option<AcceptedQuery> {
+        let query = match self.vocabulary.query(request) {
+            Ok(_) if queries.contains(request.id) => {
+                let reason = "a retrieval with this X-Trace-Id is in hand";
+                self.reject_invalid(context, id, reason);
+                return None;
+            }
+            Ok(query) => query,
+            Err(error) => {
+                self.reject_invalid(context, id, error);
+                return None;
+            }
+        };
+        if self.max_in_flight.is_some_and(|max| queries.open_count() >= max) {
+            context.counters.queries_over_limit += 1;
+            self.reply_line(context, id, 503, "too many retrievals are in hand");
+            return None;
+        }
+        let deadline = context.now + query.deadline;
+        let deadline = context.shutdown.answer_deadline().map_or(deadline, |latest| latest.min(deadline));
+        context.counters.queries_accepted += 1;
+        let query_id = queries.add_query(request.id, id, deadline, query.text);
+        context.connections.client(id).state = ClientState::AwaitingAnswer(query_id);
+        let arrival = QueryArrival {
+            query: query_id,
+            class: query.class,
+            tenant: query.tenant,
+            deadline,
+            work: query.segments.iter().map(|segment| segment.2).sum(),
+            shard_requests: query.segments.len(),
+            is_retry: request.again,
+        };
+        Some(AcceptedQuery { arrival, segments: query.segments })
+    }
+
+    fn reject_invalid(&self, context: &mut Context, id: ConnectionId, reason: &str) {
+        context.counters.requests_invalid += 1;
+        self.reply_line(context, id, 400, reason);
+    }
+
+    /// Writes the final answer to a query.
+    pub fn answer(
+        &self, context: &mut Context, queries: &QueryTable, id: ConnectionId, query: QueryId,
+        completion: Completion,
+    ) {
+        count_completion(context, completion);
+        match completion {
+            Completion::Complete | Completion::Partial => {
+                let body = queries.answer_body(query, completion == Completion::Complete);
+                debug_invariant!(context.counters, body.values > 0, "an answer has a value");
+                self.reply(context, id, 200, "application/json", body.bytes, None);
+            }
+            Completion::Rejected { retry_after } => {
+                self.reply(context, id, 503, "text/plain", b"deferred\n".to_vec(), retry_after);
+            }
+            Completion::Failed => {
+                self.reply(context, id, 502, "text/plain", b"given up\n".to_vec(), None);
+            }
+        }
+    }
+
+    /// Writes an answer; the client has as long to read it as it may wait for one.
+    fn reply(
+        &self, context: &mut Context, id: ConnectionId, status: u16, content_type: &str, body: Vec<u8>,
+        retry_after: Option<Micros>,
+    ) {
+        let client = context.connections.client(id);
+        client.state = ClientState::SendingAnswer;
+        client.close_after_answer |= context.shutdown.has_begun();
+        let retry_after_seconds = retry_after.map(|wait| wait as f64 / 1e6);
+        let head =
+            http::head(status, content_type, body.len(), retry_after_seconds, client.close_after_answer);
+        context.effects.push(Effect::Write(id, vec![head.into_bytes().into(), body.into()]));
+        context.set_connection_timer(id, Some(context.now + self.longest_deadline));
+    }
+
+    fn reply_line(&self, context: &mut Context, id: ConnectionId, status: u16, line: &str) {
+        self.reply(context, id, status, "text/plain", format!("{line}\n").into_bytes(), None);
+    }
+
+    /// An answer is written: closes the connection, or waits for the next request on it.
+    pub fn answer_written(&self, context: &mut Context, id: ConnectionId) {
+        let now = context.now;
+        let client = context.connections.client(id);
+        if client.state != ClientState::SendingAnswer {
+            return;
+        }
+        if client.close_after_answer {
+            return half_close(context, id);
+        }
+        client.state = ClientState::Idle;
+        client.idle_from = now;
+        // Guards against a shutdown that began behind this answer's head, which asks for more: what was read behind
+        // the request is consumed before the connection is closed.
+        let timer = context.shutdown.closes_idle().then_some(now);
+        context.set_connection_timer(id, timer);
+        context.effects.push(Effect::Read(id));
+        evict_surplus_idle(context);
+    }
+
+    /// A connection's timer has expired.
+    pub fn timer_expired(&mut self, context: &mut Context, id: ConnectionId) {
+        let client = context.connections.client(id);
+        match client.state {
+            ClientState::ReceivingRequest => {
+                client.close_after_answer = true;
+                self.reply_line(context, id, 408, "the request took too long to come");
+            }
+            ClientState::New | ClientState::Idle if context.shutdown.closes_idle() => {
+                half_close(context, id);
+            }
+            ClientState::New | ClientState::Idle => {
+                client.state = ClientState::Idle;
+                evict_surplus_idle(context);
+            }
+            ClientState::ClosingIfIdle | ClientState::AwaitingAnswer(_) => {}
+            ClientState::SendingAnswer | ClientState::HalfClosed => self.close(context, id),
+        }
+    }
+
+    /// Graceful shutdown: closes the connections without a request.
+    pub fn close_idle(&self, context: &mut Context) {
+        context.shutdown.close_idle();
+        let idle: Vec<ConnectionId> = without_request(context).map(|(id, _)| id).collect();
+        for id in idle {
+            half_close(context, id);
+        }
+    }
+
+    /// Graceful shutdown: answers the requests that have not come in by the deadline.
+    pub fn reject_incomplete(&self, context: &mut Context) {
+        let incomplete: Vec<ConnectionId> = context
+            .connections
+            .clients()
+            .filter(|(_, client)| client.state == ClientState::ReceivingRequest)
+            .map(|(id, _)| id)
+            .collect();
+        for id in incomplete {
+            self.reply_line(context, id, 503, "ending");
+        }
+    }
+
+    /// The query that a client waits for.
+    pub fn awaited_query(&self, context: &mut Context, id: ConnectionId) -> Option<QueryId> {
+        match context.connections.client(id).state {
+            ClientState::AwaitingAnswer(query) => Some(query),
+            _ => None,
+        }
+    }
+
+    /// Closes and removes a connection; what was received on it is discarded.
+    pub fn close(&mut self, context: &mut Context, id: ConnectionId) {
+        self.set_unconsumed(context, id, 0);
+        context.close(id);
+    }
+
+    /// Notes how many received bytes of a client are not consumed. Guards against many requests that begin and are
+    /// never complete, or stand behind others, each within its own limit and together beyond the memory.
+    fn set_unconsumed(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
+        let previous = std::mem::replace(&mut context.connections.client(id).unconsumed, count);
+        self.unconsumed = self.unconsumed - previous + count;
+    }
+
+    fn consume(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
+        let left = context.connections.client(id).unconsumed.saturating_sub(count);
+        self.set_unconsumed(context, id, left);
+        context.effects.push(Effect::Taken(id, count));
+    }
+}
+
+/// Closes a connection between requests so that one which crosses the close meets no reset: its client asks again.
+fn half_close(context: &mut Context, id: ConnectionId) {
+    context.connections.client(id).state = ClientState::HalfClosed;
+    context.effects.push(Effect::Finish(id));
+    context.set_connection_timer(id, Some(context.now + LINGER));
+}
+
+/// The clients without a request.
+fn without_request(context: &Context) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
+    context.connections.clients().filter(|(_, client)| client.without_request())
+}
+
+/// Evicts idle clients, the longest idle first. Guards against clients that send one request and stay, or never send
+/// one: clients may hold a third of the connections for requests, and of that at most half may have none, so that
+/// others can be accepted.
+fn evict_surplus_idle(context: &mut Context) {
+    let max_without_request = (context.limits.max_connections / 6).max(1);
+    let surplus = without_request(context).count().saturating_sub(max_without_request);
+    if surplus == 0 {
+        return;
+    }
+    let mut idle: Vec<(Micros, ConnectionId)> =
+        without_request(context).filter_map(|(id, client)| Some((client.idle_since()?, id))).collect();
+    idle.sort_unstable();
+    for (_, id) in idle.into_iter().take(surplus) {
+        context.evict_client(id);
+    }
+}
+
+fn count_completion(context: &mut Context, completion: Completion) {
+    let count = match completion {
+        Completion::Complete => &mut context.counters.queries_complete,
+        Completion::Partial => &mut context.counters.queries_partial,
+        Completion::Rejected { .. } => &mut context.counters.queries_rejected,
+        Completion::Failed => &mut context.counters.queries_failed,
+    };
+    *count += 1;
+}
--- /dev/null
+++ b/crates/query-router/src/router/connection/client.rs
@@ -0,0 +1,52 @@
+//! The state of a client connection.
+
+use balancer::{Micros, QueryId};
+
+/// Where a client connection stands between a request and its answer.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ClientState {
+    /// Accepted recently: a request is about to come, so it is not evicted.
+    New,
+    /// Without a request; it may be evicted.
+    Idle,
+    /// The event loop was asked to close it unless a request has come in unread.
+    ClosingIfIdle,
+    /// A request has begun to come in.
+    ReceivingRequest,
+    /// Its query is in progress.
+    AwaitingAnswer(QueryId),
+    /// An answer is being written.
+    SendingAnswer,
+    /// Closed for writing by this router; what still comes is discarded.
+    HalfClosed,
+}
+
+/// A client connection.
+#[derive(Debug)]
+pub struct ClientConnection {
+    /// Where it stands.
+    pub state: ClientState,
+    /// When it was accepted, later when its last answer was written.
+    pub idle_from: Micros,
+    /// It is closed after the current answer.
+    pub close_after_answer: bool,
+    /// How many bytes were received on it and are not consumed.
+    pub unconsumed: usize,
+}
+
+impl ClientConnection {
+    /// A connection that was just accepted.
+    pub fn new(now: Micros) -> ClientConnection {
+        ClientConnection { state: ClientState::New, idle_from: now, close_after_answer: false, unconsumed: 0 }
+    }
+
+    /// Since when it could be evicted, if it may be.
+    pub fn idle_since(&self) -> Option<Micros> {
+        (self.state == ClientState::Idle).then_some(self.idle_from)
+    }
+
+    /// Whether no request is in progress.
+    pub fn without_request(&self) -> bool {
+        matches!(self.state, ClientState::New | ClientState::Idle)
+    }
+}
--- /dev/null
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -0,0 +1,245 @@
+//! A request to discovery and its response, read as it comes in: one endpoint list, or a stream of updates.
+
+use crate::protocol::http::{self, Chunks, Framing};
+use crate::protocol::json_stream::{JsonStream, JsonStreamItem, MAX_ENDPOINT_LIST_BYTES};
+use balancer::{EndpointUpdate, Micros};
+use serde_json::Value as Json;
+
+/// Why a response of discovery cannot be used.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub enum DiscoveryError {
+    /// The head of the response or its chunks are malformed.
+    #[error("{reason}")]
+    MalformedResponse {
+        /// What is wrong.
+        reason: String,
+    },
+    /// The stream of a watch is not a sequence of objects.
+    #[error("{reason}")]
+    MalformedStream {
+        /// What is wrong.
+        reason: String,
+    },
+    /// An object of a watch is not JSON.
+    #[error("an object is not JSON")]
+    UpdateNotJson,
+    /// The response to a poll is not JSON.
+    #[error("the list is not JSON")]
+    ListNotJson,
+    /// The response is longer than any list.
+    #[error("the list is too long")]
+    ListTooLong,
+    /// An object of a watch does not say whether it names all endpoints.
+    #[error("'complete' is missing")]
+    CompleteMissing,
+    /// The revision is missing or no number.
+    #[error("its revision is not a whole number")]
+    RevisionInvalid,
+    /// The endpoints are missing or no list.
+    #[error("'members' is not a list")]
+    MembersInvalid,
+    /// A full list names an endpoint twice.
+    #[error("an id stands in it twice")]
+    DuplicateId,
+}
+
+/// What is asked of discovery.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum RequestKind {
+    /// The full endpoint list, once.
+    Poll,
+    /// Updates for as long as the connection lasts.
+    Watch,
+}
+
+/// How far a response was read.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum BodyProgress {
+    /// More is to come.
+    Incomplete,
+    /// The body is complete.
+    Complete,
+}
+
+/// An endpoint list or an update of it, in discovery's form.
+#[derive(Debug)]
+pub struct EndpointList {
+    /// What it contains.
+    pub update: EndpointUpdate,
+    /// Discovery's JSON.
+    pub json: Json,
+}
+
+/// What stands next in the stream of a watch.
+#[derive(Debug)]
+pub enum WatchMessage {
+    /// A blank line, which says that discovery is well.
+    Heartbeat,
+    /// The text of an update.
+    Update(Vec<u8>),
+}
+
+/// A request to discovery.
+#[derive(Debug)]
+pub struct DiscoveryRequest {
+    /// What was asked.
+    pub kind: RequestKind,
+    /// How the body is framed, once the head is in.
+    framing: Option<Framing>,
+    chunks: Chunks,
+    /// How much of a body of known length was read.
+    body_read: usize,
+    /// The body of a poll as far as it came in.
+    body: Vec<u8>,
+    /// The objects of a watch as far as they came in.
+    objects: JsonStream,
+    /// Since when an object of a watch is incomplete.
+    partial_object_since: Option<Micros>,
+    progress: BodyProgress,
+    /// Whether a watch has sent a message.
+    pub answered: bool,
+    /// When it last sent one, or when the request was made.
+    pub last_message_at: Micros,
+    /// The revision of the last update.
+    pub revision: u64,
+}
+
+impl DiscoveryRequest {
+    /// A request made now.
+    pub fn new(kind: RequestKind, now: Micros) -> DiscoveryRequest {
+        DiscoveryRequest {
+            kind,
+            framing: None,
+            chunks: Chunks::new(MAX_ENDPOINT_LIST_BYTES),
+            body_read: 0,
+            body: Vec::new(),
+            objects: JsonStream::default(),
+            partial_object_since: None,
+            progress: BodyProgress::Incomplete,
+            answered: false,
+            last_message_at: now,
+            revision: 0,
+        }
+    }
+
+    /// Reads on: how many bytes were consumed and whether the body is complete.
+    pub fn read(&mut self, bytes: &[u8]) -> Result<(usize, BodyProgress), DiscoveryError> {
+        let mut consumed = 0;
+        if self.framing.is_none() {
+            let head = http::response(bytes).map_err(malformed_response)?;
+            let Some((status, head_length, framing)) = head else {
+                return Ok((0, BodyProgress::Incomplete));
+            };
+            // Discovery is down or too busy: the body is of no use, and without framing the request has failed.
+            if status != 200 {
+                return Ok((bytes.len(), BodyProgress::Complete));
+            }
+            consumed = head_length;
+            self.framing = Some(framing);
+        }
+        let (body_bytes, progress) = self.read_body(&bytes[consumed..])?;
+        if self.body.len() > MAX_ENDPOINT_LIST_BYTES {
+            return Err(DiscoveryError::ListTooLong);
+        }
+        Ok((consumed + body_bytes, progress))
+    }
+
+    fn read_body(&mut self, bytes: &[u8]) -> Result<(usize, BodyProgress), DiscoveryError> {
+        match self.framing {
+            Some(Framing::Chunks) => {
+                let (kind, body, objects) = (self.kind, &mut self.body, &mut self.objects);
+                let mut store = |data: &[u8]| store(kind, body, objects, data);
+                let (consumed, complete) = self.chunks.read(bytes, &mut store).map_err(malformed_response)?;
+                Ok((consumed, if complete { BodyProgress::Complete } else { BodyProgress::Incomplete }))
+            }
+            Some(Framing::Length(length)) if length > MAX_ENDPOINT_LIST_BYTES => {
+                Err(DiscoveryError::ListTooLong)
+            }
+            Some(Framing::Length(length)) => {
+                let data = &bytes[..bytes.len().min(length - self.body_read)];
+                store(self.kind, &mut self.body, &mut self.objects, data);
+                self.body_read += data.len();
+                let complete = self.body_read == length;
+                Ok((bytes.len(), if complete { BodyProgress::Complete } else { BodyProgress::Incomplete }))
+            }
+            Some(Framing::Open) | None => {
+                store(self.kind, &mut self.body, &mut self.objects, bytes);
+                Ok((bytes.len(), BodyProgress::Incomplete))
+            }
+        }
+    }
+
+    /// The next complete message of a watch.
+    pub fn next_message(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
+        let item = self
+            .objects
+            .next()
+            .map_err(|error| DiscoveryError::MalformedStream { reason: error.to_string() })?;
+        Ok(match item {
+            JsonStreamItem::Incomplete => None,
+            JsonStreamItem::BlankLine => Some(WatchMessage::Heartbeat),
+            JsonStreamItem::Object(text) => Some(WatchMessage::Update(text)),
+        })
+    }
+
+    /// Notes how far the response was read; since when the stream has made no progress.
+    pub fn note_progress(&mut self, now: Micros, progress: BodyProgress) -> Micros {
+        self.progress = progress;
+        self.partial_object_since = self.objects.begun().then_some(self.partial_object_since.unwrap_or(now));
+        self.partial_object_since.unwrap_or(self.last_message_at)
+    }
+
+    /// Discovery has closed the connection in order, which completes a body without a stated length.
+    pub fn closed_by_peer(&mut self) {
+        if self.framing == Some(Framing::Open) {
+            self.progress = BodyProgress::Complete;
+        }
+    }
+
+    /// The endpoint list of a poll, `None` if the response was not complete. Guards against taking what was cut
+    /// off for complete: a body without a length ends with an orderly close, and no body by a reset.
+    pub fn polled_list(&self) -> Option<Result<EndpointList, DiscoveryError>> {
+        let complete = self.kind == RequestKind::Poll
+            && self.progress == BodyProgress::Complete
+            && self.framing.is_some();
+        complete.then(|| {
+            let json: Json = serde_json::from_slice(&self.body).map_err(|_| DiscoveryError::ListNotJson)?;
+            checked_revision(&json, EndpointUpdate::Full)?;
+            Ok(EndpointList { update: EndpointUpdate::Full, json })
+        })
+    }
+}
+
+/// The update that a watch has sent, and its revision.
+pub fn parse_update(text: &[u8]) -> Result<(EndpointList, u64), DiscoveryError> {
+    let json: Json = serde_json::from_slice(text).map_err(|_| DiscoveryError::UpdateNotJson)?;
+    let complete = json["complete"].as_bool().ok_or(DiscoveryError::CompleteMissing)?;
+    let update = if complete { EndpointUpdate::Full } else { EndpointUpdate::Incremental };
+    let revision = checked_revision(&json, update)?;
+    Ok((EndpointList { update, json }, revision))
+}
+
+fn malformed_response(error: http::Bad) -> DiscoveryError {
+    DiscoveryError::MalformedResponse { reason: error.1.to_string() }
+}
+
+fn store(kind: RequestKind, body: &mut Vec<u8>, objects: &mut JsonStream, data: &[u8]) {
+    match kind {
+        RequestKind::Watch => objects.push(data),
+        RequestKind::Poll => body.extend_from_slice(data),
+    }
+}
+
+/// The revision of a list that can be used as a whole; its entries are judged one by one. An incremental update may
+/// name an endpoint twice, a full list may not.
+fn checked_revision(list: &Json, update: EndpointUpdate) -> Result<u64, DiscoveryError> {
+    let revision = list["revision"].as_u64().ok_or(DiscoveryError::RevisionInvalid)?;
+    let members = list["members"].as_array().ok_or(DiscoveryError::MembersInvalid)?;
+    let mut ids: Vec<&str> = members.iter().filter_map(|member| member["id"].as_str()).collect();
+    ids.sort_unstable();
+    let duplicate = ids.windows(2).any(|pair| pair[0] == pair[1]);
+    if update == EndpointUpdate::Full && duplicate {
+        return Err(DiscoveryError::DuplicateId);
+    }
+    Ok(revision)
+}
--- /dev/null
+++ b/crates/query-router/src/router/context.rs
@@ -0,0 +1,156 @@
+//! What all components of the router share: the time, the effects asked for, counters, timers, connections and
+//! endpoints. Opens and closes connections within the limit on descriptors.
+
+use crate::config::Config;
+use crate::counters::Counters;
+use crate::io::{ConnectionId, Effect};
+use crate::router::connection::client::ClientState;
+use crate::router::connection::{Connection, ConnectionKind, ConnectionTable};
+use crate::router::endpoints::Endpoints;
+use crate::router::shutdown::Shutdown;
+use crate::router::timers::{Timer, Timers};
+use balancer::{Micros, NodeId};
+
+/// Descriptors that are not connections: standard ones, the listener, the loop's own, one just accepted.
+const OTHER_DESCRIPTORS: usize = 16;
+/// How many connections may be closing at a time, so that new ones in their place stay within the limit.
+const MAX_CLOSING: usize = OTHER_DESCRIPTORS / 2;
+
+/// Limits that the configuration states.
+#[derive(Debug)]
+pub struct Limits {
+    /// Connections of all kinds.
+    pub max_connections: usize,
+    /// Shard requests queued or in flight on one node connection.
+    pub max_requests_per_connection: usize,
+    /// How long a connection may take to be established, and a frame to come in.
+    pub connect_timeout: Micros,
+    /// After how long an idle node connection is closed.
+    pub idle_timeout: Micros,
+    /// The time between two decisions of the balancer.
+    pub decision_interval: Micros,
+}
+
+impl Limits {
+    fn new(config: &Config) -> Limits {
+        let connect_timeout = config.micros("limits.connect_timeout_us");
+        let idle_timeout = config.micros("limits.idle_timeout_us");
+        Limits {
+            max_connections: config.sockets.saturating_sub(OTHER_DESCRIPTORS).max(1),
+            max_requests_per_connection: config.whole("limits.max_requests_per_connection"),
+            connect_timeout,
+            // Closed here before the data node may: a request that crosses its close would be a reset.
+            idle_timeout: (idle_timeout - connect_timeout).max(idle_timeout / 2),
+            decision_interval: config.micros("decision_interval_us"),
+        }
+    }
+}
+
+/// What all components share.
+pub struct Context {
+    /// The time of the current event.
+    pub now: Micros,
+    /// What the event loop is asked to do, in order.
+    pub effects: Vec<Effect>,
+    /// The counters.
+    pub counters: Counters,
+    /// All timers.
+    pub timers: Timers,
+    /// All connections.
+    pub connections: ConnectionTable,
+    /// All endpoints.
+    pub endpoints: Endpoints,
+    /// How far a graceful shutdown has come.
+    pub shutdown: Shutdown,
+    /// Limits of the configuration.
+    pub limits: Limits,
+}
+
+impl Context {
+    /// The context of a router that starts now.
+    pub fn new(config: &Config, now: Micros) -> Context {
+        Context {
+            now,
+            effects: Vec::new(),
+            counters: Counters::default(),
+            timers: Timers::default(),
+            connections: ConnectionTable::default(),
+            endpoints: Endpoints::default(),
+            shutdown: Shutdown::default(),
+            limits: Limits::new(config),
+        }
+    }
+
+    /// Sets or removes a connection's timer, in place of the time before.
+    pub fn set_connection_timer(&mut self, id: ConnectionId, at: Option<Micros>) {
+        if let Some(previous) = self.connections.set_timer_at(id, at) {
+            self.timers.remove(previous, Timer::Connection(id));
+        }
+        if let Some(at) = at {
+            self.timers.insert(at, Timer::Connection(id));
+        }
+    }
+
+    /// Adds a connection if the limit allows one more; the one that has been idle for longest makes room for it.
+    pub fn open(&mut self, connection: Connection) -> Option<ConnectionId> {
+        let max_connections = self.limits.max_connections;
+        if self.connections.len() >= max_connections {
+            let closing = self.connections.closing_if_idle();
+            let is_full = self.connections.len() - closing >= max_connections;
+            if is_full && (closing >= MAX_CLOSING || !self.evict_longest_idle()) {
+                return None;
+            }
+        }
+        let id = self.connections.insert(connection);
+        self.counters.sockets_peak = self.counters.sockets_peak.max(self.connections.len() as u64);
+        Some(id)
+    }
+
+    /// Closes the connection that has been idle for longest, of a client or to a node; false if none is idle.
+    fn evict_longest_idle(&mut self) -> bool {
+        let Some(id) = self.connections.longest_idle() else { return false };
+        match self.connections.kind(id) {
+            Some(ConnectionKind::Client) => self.evict_client(id),
+            _ => self.close_idle_node(id),
+        }
+        true
+    }
+
+    /// Closes an idle client connection. Guards against a request that has come in and was not read yet.
+    pub fn evict_client(&mut self, id: ConnectionId) {
+        self.counters.client_connections_evicted += 1;
+        self.connections.client(id).state = ClientState::ClosingIfIdle;
+        self.effects.push(Effect::Part(id));
+    }
+
+    /// Closes a node connection that has nothing to do.
+    pub fn close_idle_node(&mut self, id: ConnectionId) {
+        self.counters.node_connections_closed_idle += 1;
+        self.close_node(id);
+    }
+
+    /// Closes all connections to a node that have nothing to do.
+    pub fn close_idle_nodes(&mut self, node: NodeId) {
+        for id in self.endpoints[node].connections.clone() {
+            if self.connections.node(id).idle_since().is_some() {
+                self.close_idle_node(id);
+            }
+        }
+    }
+
+    /// Closes and removes a node connection; frees its node's id with the last one if the balancer has released it.
+    pub fn close_node(&mut self, id: ConnectionId) {
+        let node = self.connections.node(id).node;
+        self.endpoints[node].connections.retain(|&other| other != id);
+        self.close(id);
+        self.endpoints.free_if_unused(node);
+    }
+
+    /// Closes and removes a connection.
+    pub fn close(&mut self, id: ConnectionId) -> Connection {
+        self.set_connection_timer(id, None);
+        let connection = self.connections.remove(id);
+        self.effects.push(Effect::Close(id));
+        connection
+    }
+}
--- /dev/null
+++ b/crates/query-router/src/router/endpoints.rs
@@ -0,0 +1,113 @@
+//! The endpoints that discovery has named: their addresses and states, and the connections to each.
+
+use crate::io::ConnectionId;
+use balancer::{EndpointState, Micros, NodeId};
+use settings_schema::ids::Ids;
+use settings_schema::names::EndpointEntry;
+use std::net::SocketAddr;
+use std::ops::{Index, IndexMut};
+
+/// What is known of a data node.
+#[derive(Clone, Debug, Default)]
+pub struct EndpointRecord {
+    /// Where it listens, if the address could be parsed.
+    pub address: Option<SocketAddr>,
+    /// Whether it may be sent anything new.
+    pub ready: bool,
+    /// When its process started, according to discovery.
+    pub started_at: Micros,
+    /// The number of the last update that named it.
+    last_update: u64,
+    /// The balancer does not refer to it any more: its id is free once no connection is left.
+    released: bool,
+    /// A malformed frame of its was logged.
+    pub malformed_frame_logged: bool,
+    /// The connections to it.
+    pub connections: Vec<ConnectionId>,
+}
+
+/// All endpoints by node.
+#[derive(Default)]
+pub struct Endpoints {
+    records: Vec<EndpointRecord>,
+    ids: Ids<String>,
+    updates: u64,
+}
+
+impl Endpoints {
+    /// An update of the list begins.
+    pub fn start_update(&mut self) {
+        self.updates += 1;
+    }
+
+    /// Stores an entry of the update; returns its node, a new one if discovery has not named it before.
+    pub fn store(&mut self, entry: &EndpointEntry) -> NodeId {
+        let index = self.ids.take(entry.id.to_string());
+        if self.records.len() <= index {
+            self.records.resize(index + 1, EndpointRecord::default());
+        }
+        let record = &mut self.records[index];
+        record.address = entry.address.parse().ok();
+        record.ready = entry.state == EndpointState::Ready;
+        record.started_at = entry.started_at;
+        record.last_update = self.updates;
+        record.released = false;
+        NodeId(index)
+    }
+
+    /// Ends an update that names all endpoints: the others are not ready any more.
+    pub fn finish_full_update(&mut self) {
+        for record in &mut self.records {
+            record.ready &= record.last_update == self.updates;
+        }
+    }
+
+    /// How many places there are for nodes, free ones included.
+    pub fn len(&self) -> usize {
+        self.records.len()
+    }
+
+    /// How many endpoints are ready.
+    pub fn ready_count(&self) -> usize {
+        self.records.iter().filter(|record| record.ready).count()
+    }
+
+    /// The balancer does not refer to this node any more.
+    pub fn release(&mut self, node: NodeId) {
+        self[node].released = true;
+    }
+
+    /// Frees the id of a node to which neither the balancer nor a connection refers.
+    pub fn free_if_unused(&mut self, node: NodeId) {
+        if self[node].released && self[node].connections.is_empty() {
+            self[node] = EndpointRecord::default();
+            self.ids.release(node.0);
+        }
+    }
+
+    /// All records in the order of their nodes.
+    #[cfg(test)]
+    pub fn records(&self) -> &[EndpointRecord] {
+        &self.records
+    }
+
+    /// How many nodes have ids.
+    #[cfg(test)]
+    pub fn id_count(&self) -> usize {
+        self.ids.count()
+    }
+}
+
+impl Index<NodeId> for Endpoints {
+    type Output = EndpointRecord;
+
+    fn index(&self, node: NodeId) -> &EndpointRecord {
+        &self.records[node.0]
+    }
+}
+
+impl IndexMut<NodeId> for Endpoints {
+    fn index_mut(&mut self, node: NodeId) -> &mut EndpointRecord {
+        &mut self.records[node.0]
+    }
+}
--- /dev/null
+++ b/crates/query-router/src/router/mod.rs
@@ -0,0 +1,462 @@
+//! The router's state machine: every change of state goes through [`Router::step`] and [`Router::decide`]. It is given
+//! plain values and the time, and asks for effects; it touches no socket and no clock.
+//!
+//! This module routes events to the components and their results to the balancer; the components know neither the
+//! balancer nor each other, but for those below them: `context` (what all share), `query_table`, `node_connections`,
+//! `dispatch`, `clients`, `discovery`.
+
+mod clients;
+mod connection;
+mod context;
+mod discovery;
+mod dispatch;
+mod endpoints;
+mod node_connections;
+mod query_table;
+mod shutdown;
+mod timers;
+
+#[cfg(test)]
+mod tests;
+
+use crate::config::Config;
+use crate::counters::{Counters, debug_invariant};
+use crate::io::{ConnectionId, Effect, Event};
+use balancer::{
+    Actions, AttemptEnd, AttemptId, AttemptOutcome, Balancer, Completion, EndpointUpdate, Events,
+    HealthCheckEnd, LoadMetric, Micros, NodeId, QueryId, ShardRequestArrival, ShardRequestId,
+};
+use clients::{AcceptedQuery, Clients};
+use connection::ConnectionKind;
+use connection::discovery::{BodyProgress, EndpointList};
+use context::Context;
+use discovery::{Discovery, RequestEnd};
+use dispatch::Dispatcher;
+use node_connections::NodeReport;
+use query_table::{FinishedAttempt, QueryTable};
+use timers::Timer;
+
+/// All that the router holds but the balancer, which acts on it.
+struct State {
+    context: Context,
+    queries: QueryTable,
+    clients: Clients,
+    dispatcher: Dispatcher,
+    discovery: Discovery,
+}
+
+/// The router's state machine.
+pub struct Router {
+    balancer: Balancer,
+    state: State,
+    /// Whether the balancer was told something since its last decision.
+    decision_due: bool,
+    last_decision_at: Micros,
+    /// When the event loop was asked to report that time has passed.
+    wake_at: Option<Micros>,
+}
+
+impl Router {
+    /// A router that starts now.
+    pub fn new(config: &Config, now: Micros) -> Router {
+        let state = State {
+            context: Context::new(config, now),
+            queries: QueryTable::default(),
+            clients: Clients::new(config),
+            dispatcher: Dispatcher::new(config),
+            discovery: Discovery::new(config),
+        };
+        let mut router = Router {
+            balancer: Balancer::new(config.seed, config.settings.clone()),
+            state,
+            decision_due: true,
+            last_decision_at: 0,
+            wake_at: None,
+        };
+        let cached = EndpointList { update: EndpointUpdate::Cached, json: config.known.clone() };
+        router.apply_endpoint_list(&cached);
+        router.state.discovery.start(&mut router.state.context);
+        router
+    }
+
+    /// Takes what the event loop is asked to do, in order.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.state.context.effects)
+    }
+
+    /// The counters.
+    pub fn counters(&self) -> &Counters {
+        &self.state.context.counters
+    }
+
+    /// Processes one event.
+    pub fn step(&mut self, now: Micros, event: Event) {
+        self.state.context.now = now;
+        match event {
+            Event::Arrived => self.state.clients.connected(&mut self.state.context),
+            Event::Up(id) => self.established(id),
+            Event::Received(id, bytes) => self.received(id, bytes),
+            Event::Flushed(id) => self.flushed(id),
+            Event::Closed(id) => self.closed_by_peer(id),
+            Event::Ended(id, bytes_written) => self.ended(id, bytes_written),
+            Event::Alarm => self.expire_timers(),
+            Event::Discovery(address) => self.state.discovery.move_to(&mut self.state.context, address),
+            Event::Terminate => self.begin_shutdown(),
+            Event::Report => {
+                let lines = self.counters().lines();
+                self.state.context.effects.push(Effect::Report(lines));
+            }
+        }
+        self.update_wake();
+    }
+
+    /// Once an event-loop iteration, after all its events: tells the balancer what is left to tell and lets it decide,
+    /// at most once in the decision interval.
+    pub fn decide(&mut self, now: Micros) {
+        self.state.context.now = now;
+        for _ in 0..self.state.discovery.take_unreported_failures() {
+            self.state.discovery.note_failure(&mut self.state.context);
+            self.report_discovery_failure();
+        }
+        for finished in self.state.queries.take_pending_outcomes() {
+            self.report_attempt(&finished, &[]);
+        }
+        // Guards against deciding on half of what one instant brings: asked for each event alone, the balancer sent
+        // several times the hedged attempts, which kept nodes full that had only just enough capacity.
+        let interval_is_over = now >= self.last_decision_at + self.state.context.limits.decision_interval;
+        if interval_is_over && std::mem::take(&mut self.decision_due) {
+            self.last_decision_at = now;
+            self.state.context.counters.decisions += 1;
+            self.balancer.decide(now, &mut self.state);
+        }
+        let State { context, queries, clients, dispatcher, .. } = &mut self.state;
+        dispatcher.send_batches(context, queries);
+        clients.accept_pending(context);
+        self.update_wake();
+        if self.may_exit() {
+            self.state.context.effects.push(Effect::Exit);
+        }
+    }
+
+    /// Whether a graceful shutdown has nothing left to wait for.
+    pub fn may_exit(&self) -> bool {
+        let context = &self.state.context;
+        context.shutdown.closes_idle() && context.connections.clients().next().is_none()
+    }
+
+    /// Asks to be woken for the first timer, and for the next decision if one is due.
+    fn update_wake(&mut self) {
+        let State { context, queries, discovery, .. } = &mut self.state;
+        let decision_due =
+            self.decision_due || queries.has_pending_outcomes() || discovery.has_unreported_failures();
+        let decision_at = decision_due.then_some(self.last_decision_at + context.limits.decision_interval);
+        let next = context.timers.next_at().into_iter().chain(decision_at).min();
+        if std::mem::replace(&mut self.wake_at, next) != next {
+            context.effects.push(Effect::Timer(next));
+        }
+    }
+
+    fn established(&mut self, id: ConnectionId) {
+        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
+        match context.connections.kind(id) {
+            Some(ConnectionKind::Node) => dispatcher.node_connections.established(context, queries, id),
+            Some(ConnectionKind::Discovery) => discovery.established(context, id),
+            Some(ConnectionKind::Client) | None => {}
+        }
+    }
+
+    fn received(&mut self, id: ConnectionId, bytes: &[u8]) {
+        match self.state.context.connections.kind(id) {
+            Some(ConnectionKind::Client) => self.client_received(id, bytes),
+            Some(ConnectionKind::Node) => self.node_received(id, bytes),
+            Some(ConnectionKind::Discovery) => self.discovery_received(id, bytes),
+            None => {}
+        }
+    }
+
+    fn flushed(&mut self, id: ConnectionId) {
+        let State { context, queries, clients, dispatcher, .. } = &mut self.state;
+        match context.connections.kind(id) {
+            Some(ConnectionKind::Client) => clients.answer_written(context, id),
+            Some(ConnectionKind::Node) => dispatcher.node_connections.flushed(context, queries, id),
+            Some(ConnectionKind::Discovery) | None => {}
+        }
+    }
+
+    fn closed_by_peer(&mut self, id: ConnectionId) {
+        let State { context, discovery, .. } = &mut self.state;
+        if context.connections.kind(id) == Some(ConnectionKind::Discovery) {
+            discovery.closed_by_peer(context, id);
+        }
+    }
+
+    fn ended(&mut self, id: ConnectionId, bytes_written: u64) {
+        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
+        match context.connections.kind(id) {
+            Some(ConnectionKind::Client) => self.client_ended(id),
+            Some(ConnectionKind::Node) => {
+                let reports = dispatcher.node_connections.ended(context, queries, id, bytes_written);
+                self.report_all(reports);
+            }
+            Some(ConnectionKind::Discovery) => {
+                let end = discovery.ended(context, id);
+                self.discovery_request_ended(id, end);
+            }
+            None => {}
+        }
+    }
+
+    fn expire_timers(&mut self) {
+        let now = self.state.context.now;
+        while let Some(timer) = self.state.context.timers.pop_expired(now) {
+            self.timer_expired(timer);
+        }
+    }
+
+    fn timer_expired(&mut self, timer: Timer) {
+        let State { context, queries, clients, dispatcher, discovery } = &mut self.state;
+        match timer {
+            Timer::Balancer(token) => {
+                self.balancer.timer_expired(context.now, token);
+                self.decision_due = true;
+            }
+            Timer::AttemptTimeout(attempt) => {
+                dispatcher.cancel(context, queries, attempt, AttemptOutcome::TimedOut);
+            }
+            Timer::HealthCheckTimeout(id) => {
+                let report = dispatcher.node_connections.health_check_timed_out(context, id);
+                self.report_all(report);
+            }
+            Timer::StartWatch => discovery.start_watch(context),
+            Timer::CloseIdleClients => clients.close_idle(context),
+            Timer::AnswerDeadline => clients.reject_incomplete(context),
+            Timer::Connection(id) => self.connection_timer_expired(id),
+        }
+    }
+
+    fn connection_timer_expired(&mut self, id: ConnectionId) {
+        let State { context, queries, clients, dispatcher, discovery } = &mut self.state;
+        context.connections.set_timer_at(id, None);
+        match context.connections.kind(id) {
+            Some(ConnectionKind::Client) => clients.timer_expired(context, id),
+            Some(ConnectionKind::Node) => {
+                let reports = dispatcher.node_connections.timer_expired(context, queries, id);
+                self.report_all(reports);
+            }
+            Some(ConnectionKind::Discovery) => {
+                let end = discovery.silent(context, id);
+                self.discovery_request_ended(id, end);
+            }
+            None => {}
+        }
+    }
+
+    /// The process was told to end.
+    fn begin_shutdown(&mut self) {
+        let State { context, queries, clients, .. } = &mut self.state;
+        let longest_deadline = clients.longest_deadline();
+        if context.shutdown.begin(&mut context.timers, context.now, longest_deadline) {
+            tracing::info!(open = queries.open_count(), "told to end");
+        }
+    }
+
+    fn client_received(&mut self, id: ConnectionId, bytes: &[u8]) {
+        let State { context, queries, clients, .. } = &mut self.state;
+        if let Some(accepted) = clients.received(context, queries, id, bytes) {
+            self.report_query(accepted);
+        }
+    }
+
+    /// Tells the balancer of a query and its shard requests.
+    fn report_query(&mut self, accepted: AcceptedQuery) {
+        let AcceptedQuery { arrival, segments } = accepted;
+        let now = self.state.context.now;
+        self.balancer.query_arrived(now, &arrival);
+        for (shard, weight, work) in segments {
+            let shard_request = self.state.queries.add_shard_request(arrival.query, shard);
+            let request = ShardRequestArrival { shard_request, query: arrival.query, shard, weight, work };
+            self.balancer.shard_request_arrived(now, &request);
+        }
+        self.decision_due = true;
+    }
+
+    /// A client has disconnected: nobody waits for its query any more.
+    fn client_ended(&mut self, id: ConnectionId) {
+        let State { context, queries, clients, dispatcher, .. } = &mut self.state;
+        if let Some(query) = clients.awaited_query(context, id) {
+            queries.end_query(query);
+            dispatcher.cancel_unsent(context, queries, query);
+            context.counters.queries_abandoned_by_client += 1;
+            self.balancer.client_disconnected(context.now, query);
+            self.decision_due = true;
+        }
+        clients.close(context, id);
+    }
+
+    fn node_received(&mut self, id: ConnectionId, bytes: &[u8]) {
+        let mut offset = 0;
+        loop {
+            let State { context, queries, dispatcher, .. } = &mut self.state;
+            let report = dispatcher.node_connections.next_report(context, queries, id, bytes, &mut offset);
+            let Some(report) = report else { return };
+            self.report(report);
+        }
+    }
+
+    /// Tells the balancer what happened on a node connection.
+    fn report(&mut self, report: NodeReport) {
+        match report {
+            NodeReport::Attempt(finished, load) => self.report_attempt(&finished, &load),
+            NodeReport::HealthCheck(finished, load) => {
+                let end = HealthCheckEnd {
+                    node: finished.node,
+                    outcome: finished.outcome,
+                    latency: finished.latency,
+                    load: &load,
+                };
+                self.balancer.health_check_ended(self.state.context.now, &end);
+                self.decision_due = true;
+            }
+        }
+    }
+
+    fn report_all<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
+        for report in reports {
+            self.report(report);
+        }
+    }
+
+    fn report_attempt(&mut self, finished: &FinishedAttempt, load: &[LoadMetric]) {
+        let end = AttemptEnd {
+            attempt: finished.attempt,
+            node: finished.node,
+            outcome: finished.outcome,
+            latency: finished.latency,
+            load,
+        };
+        self.balancer.attempt_ended(self.state.context.now, &end);
+        self.decision_due = true;
+    }
+
+    /// Reads a response of discovery and applies each update as soon as it has come in.
+    fn discovery_received(&mut self, id: ConnectionId, bytes: &[u8]) {
+        let State { context, discovery, .. } = &mut self.state;
+        let (consumed, progress) = match discovery.read(context, id, bytes) {
+            Ok(read) => read,
+            Err(error) => {
+                let end = discovery.invalid(context, id, &error);
+                return self.discovery_request_ended(id, end);
+            }
+        };
+        loop {
+            let State { context, discovery, .. } = &mut self.state;
+            match discovery.next_update(context, id) {
+                Ok(Some(list)) => self.apply_endpoint_list(&list),
+                Ok(None) => break,
+                Err(error) => {
+                    let end = discovery.invalid(context, id, &error);
+                    return self.discovery_request_ended(id, end);
+                }
+            }
+        }
+        let State { context, discovery, .. } = &mut self.state;
+        discovery.finish_reading(context, id, consumed, progress);
+        if progress == BodyProgress::Complete {
+            let end = discovery.ended(context, id);
+            self.discovery_request_ended(id, end);
+        }
+    }
+
+    fn discovery_request_ended(&mut self, id: ConnectionId, end: RequestEnd) {
+        match end {
+            RequestEnd::List(list) => {
+                self.apply_endpoint_list(&list);
+                self.state.context.close(id);
+            }
+            RequestEnd::WatchRestarted => {}
+            RequestEnd::Failed => self.report_discovery_failure(),
+        }
+    }
+
+    fn report_discovery_failure(&mut self) {
+        let now = self.state.context.now;
+        self.balancer.endpoint_update_started(now, EndpointUpdate::Failed);
+        self.balancer.endpoint_update_finished(now, &mut self.state);
+        self.decision_due = true;
+    }
+
+    /// Applies an endpoint list, and tells the balancer of it entry by entry.
+    fn apply_endpoint_list(&mut self, list: &EndpointList) {
+        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
+        let now = context.now;
+        let endpoints = discovery.store(context, list);
+        self.balancer.endpoint_update_started(now, list.update);
+        for endpoint in &endpoints {
+            self.balancer.endpoint_listed(now, endpoint);
+        }
+        for node in 0..context.endpoints.len() {
+            dispatcher.apply_endpoint(context, queries, NodeId(node));
+        }
+        self.balancer.endpoint_update_finished(now, &mut self.state);
+        self.decision_due = true;
+    }
+}
+
+impl Actions for State {
+    fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>) {
+        self.dispatcher.add_attempt(&mut self.context, &mut self.queries, shard_request, node, timeout);
+    }
+
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        self.dispatcher.cancel(&mut self.context, &mut self.queries, attempt, AttemptOutcome::Cancelled);
+    }
+
+    fn complete_query(&mut self, query: QueryId, completion: Completion) {
+        let State { context, queries, clients, dispatcher, .. } = self;
+        let client = queries.end_query(query);
+        debug_invariant!(context.counters, client.is_some(), "one final answer");
+        dispatcher.cancel_unsent(context, queries, query);
+        if let Some(id) = client {
+            clients.answer(context, queries, id, query, completion);
+        }
+    }
+
+    fn release_query(&mut self, query: QueryId) {
+        self.queries.release_query(query);
+    }
+
+    fn release_node(&mut self, node: NodeId) {
+        self.context.endpoints.release(node);
+        self.context.close_idle_nodes(node);
+        self.context.endpoints.free_if_unused(node);
+    }
+
+    fn set_timer(&mut self, delay: Micros, token: u64) {
+        self.context.timers.insert(self.context.now + delay, Timer::Balancer(token));
+    }
+
+    fn check_health(&mut self, node: NodeId) {
+        let State { context, queries, dispatcher, .. } = self;
+        dispatcher.node_connections.check_health(context, queries, node);
+    }
+
+    fn close_idle_connections(&mut self, node: NodeId) {
+        self.context.close_idle_nodes(node);
+    }
+
+    fn watch_endpoints(&mut self, enabled: bool) {
+        if enabled {
+            self.discovery.start_watch(&mut self.context);
+        } else {
+            self.discovery.stop_watch(&mut self.context);
+        }
+    }
+
+    fn poll_endpoints(&mut self) {
+        self.discovery.poll(&mut self.context);
+    }
+
+    fn log(&mut self, line: &str) {
+        tracing::info!("{line}");
+    }
+}
--- /dev/null
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -0,0 +1,138 @@
+//! Frames that data nodes send.
+
+use super::{NodeConnections, NodeReport, close_malformed, finish_health_check, note_malformed_frame};
+use crate::io::{ConnectionId, Effect};
+use crate::protocol::frames::{self, Read};
+use crate::router::connection::node::PartialFrame;
+use crate::router::context::Context;
+use crate::router::query_table::QueryTable;
+use balancer::{AttemptOutcome, LoadMetric};
+use settings_schema::names;
+
+/// What a frame means.
+enum Received<'a> {
+    /// Something for the balancer.
+    Report(NodeReport<'a>),
+    /// Nothing for the balancer.
+    Handled,
+    /// It cannot be used.
+    Malformed,
+}
+
+impl NodeConnections {
+    /// Reads what a node has sent, from `offset` on, to the first frame that means something for the balancer. `None`
+    /// means that everything was read, or that the connection is about to be closed.
+    pub fn next_report<'a>(
+        &self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &'a [u8],
+        offset: &mut usize,
+    ) -> Option<NodeReport<'a>> {
+        loop {
+            let rest = &bytes[*offset..];
+            let received = match frames::read(rest) {
+                Read::More => {
+                    self.finish_reading(context, id, rest, *offset);
+                    return None;
+                }
+                Read::Frame(letter, content, length) => {
+                    let received = receive(context, queries, id, letter, content);
+                    if !matches!(received, Received::Malformed) {
+                        *offset += length;
+                    }
+                    received
+                }
+                Read::Bad => Received::Malformed,
+            };
+            match received {
+                Received::Report(report) => return Some(report),
+                Received::Handled => {}
+                Received::Malformed => {
+                    let named = context.connections.node(id).attempt_named_in(rest);
+                    close_malformed(context, id, named);
+                    return None;
+                }
+            }
+        }
+    }
+
+    /// Notes the frame that has begun to come in, and what was consumed before it.
+    fn finish_reading(&self, context: &mut Context, id: ConnectionId, rest: &[u8], consumed: usize) {
+        let now = context.now;
+        let connection = context.connections.node(id);
+        let since = connection.partial_frame.filter(|_| consumed == 0).map_or(now, |partial| partial.since);
+        let attempt = connection.attempt_named_in(rest);
+        connection.partial_frame = (!rest.is_empty()).then_some(PartialFrame { since, attempt });
+        if consumed > 0 {
+            connection.last_frame_at = now;
+        }
+        context.effects.push(Effect::Taken(id, consumed));
+        self.close_or_keep_idle(context, id);
+    }
+}
+
+fn receive<'a>(
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, letter: u8, content: &'a [u8],
+) -> Received<'a> {
+    match letter {
+        b'Y' => receive_response(context, queries, id, content),
+        b'G' | b'T' => receive_health(context, id, content),
+        b'N' => {
+            // The node is about to close the connection: what is not sent yet goes elsewhere.
+            note_malformed_frame(context, id, &String::from_utf8_lossy(content));
+            context.connections.node(id).reusable = false;
+            context.effects.push(Effect::Break(id));
+            Received::Handled
+        }
+        _ => Received::Malformed,
+    }
+}
+
+/// A response to a shard request.
+fn receive_response<'a>(
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, content: &'a [u8],
+) -> Received<'a> {
+    let Some((request_id, outcome, load, value)) = frames::answer(content) else {
+        return Received::Malformed;
+    };
+    let connection = context.connections.node(id);
+    let Some(index) = connection.in_flight.iter().position(|sent| &*sent.id == request_id) else {
+        return receive_late_response(context, id, request_id);
+    };
+    let sent = connection.in_flight.remove(index);
+    connection.last_answered = Some(sent.id);
+    if outcome == AttemptOutcome::Succeeded {
+        queries.store_value(sent.attempt.shard_request, value);
+    }
+    let load = std::str::from_utf8(load).ok().and_then(parse_load);
+    match queries.finish_attempt(context, sent.attempt, outcome) {
+        Some(finished) => Received::Report(NodeReport::Attempt(finished, load.unwrap_or_default())),
+        None => Received::Handled,
+    }
+}
+
+/// A response to a shard request that is not in flight here. An id that does not belong here means that the connection
+/// cannot be reused; so does a second copy of the last response, but that one is no malformed frame.
+fn receive_late_response<'a>(context: &mut Context, id: ConnectionId, request_id: &str) -> Received<'a> {
+    let connection = context.connections.node(id);
+    let abandoned = connection.abandoned.iter().position(|known| **known == *request_id);
+    if abandoned.and_then(|index| connection.abandoned.remove(index)).is_none() {
+        connection.reusable = false;
+    }
+    let usable = connection.reusable || connection.last_answered.as_deref() == Some(request_id);
+    context.counters.responses_late += 1;
+    if usable { Received::Handled } else { Received::Malformed }
+}
+
+/// The answer to a health check, with the node's load or a plain word.
+fn receive_health<'a>(context: &mut Context, id: ConnectionId, content: &'a [u8]) -> Received<'a> {
+    let Ok(text) = std::str::from_utf8(content) else { return Received::Malformed };
+    let outcome = if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
+    let load = if matches!(text, "OK" | "ERROR" | "-") { "" } else { text };
+    match finish_health_check(context, id, outcome, parse_load(load).unwrap_or_default()) {
+        Some(report) => Received::Report(report),
+        None => Received::Handled,
+    }
+}
+
+fn parse_load(text: &str) -> Option<Vec<LoadMetric<'_>>> {
+    names::load(text, '=')
+}
--- /dev/null
+++ b/crates/query-router/src/router/query_table.rs
@@ -0,0 +1,267 @@
+//! The queries in progress, their shard requests and attempts, and the body of an answer.
+
+use crate::counters::debug_invariant;
+use crate::io::{Bytes, ConnectionId};
+use crate::router::context::Context;
+use crate::router::timers::Timer;
+use balancer::{AttemptId, AttemptNumber, AttemptOutcome, Micros, NodeId, QueryId, ShardRequestId};
+use serde_json::{Value as Json, json};
+use slab::Slab;
+use std::collections::HashSet;
+use std::rc::Rc;
+
+/// A query.
+#[derive(Debug)]
+pub struct Query {
+    id: Rc<str>,
+    /// Where the answer goes, until it was given or the client disconnected.
+    client: Option<ConnectionId>,
+    /// When an answer is of no use any more.
+    pub deadline: Micros,
+    /// What is sent to each shard.
+    pub text: Bytes,
+    /// Its shard requests.
+    pub shard_requests: Vec<ShardRequestId>,
+}
+
+impl Query {
+    /// Whether it was answered or its client has disconnected.
+    pub fn has_ended(&self) -> bool {
+        self.client.is_none()
+    }
+}
+
+/// A shard request.
+#[derive(Debug)]
+pub struct ShardRequest {
+    /// Its id on the wire.
+    pub id: Rc<str>,
+    /// The query that it belongs to.
+    pub query: QueryId,
+    /// The shard.
+    pub shard: usize,
+    /// The value that a data node answered with.
+    pub value: Option<String>,
+    /// Its attempts by number.
+    pub attempts: Vec<Attempt>,
+}
+
+/// An attempt.
+#[derive(Debug)]
+pub struct Attempt {
+    /// The node that it is sent to.
+    pub node: NodeId,
+    /// When the balancer asked for it.
+    pub requested_at: Micros,
+    /// When the router stops waiting for it.
+    pub deadline: Micros,
+    /// The connection that it is queued for or was sent on.
+    pub connection: Option<ConnectionId>,
+    /// Whether its outcome is known.
+    pub finished: bool,
+}
+
+/// An attempt whose outcome is known.
+#[derive(Clone, Copy, Debug)]
+pub struct FinishedAttempt {
+    /// The attempt.
+    pub attempt: AttemptId,
+    /// The node that it was for.
+    pub node: NodeId,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// The time since it was requested.
+    pub latency: Micros,
+}
+
+/// The body of an answer to a client.
+pub struct AnswerBody {
+    /// The JSON text.
+    pub bytes: Vec<u8>,
+    /// How many shards' values it contains.
+    pub values: usize,
+}
+
+/// All queries in progress.
+#[derive(Default)]
+pub struct QueryTable {
+    pub(super) queries: Slab<Query>,
+    pub(super) shard_requests: Slab<ShardRequest>,
+    ids: HashSet<Rc<str>>,
+    /// How many queries are not answered, and their shard requests.
+    open: usize,
+    /// Outcomes that the balancer has not been told of, in order.
+    pending_outcomes: Vec<FinishedAttempt>,
+}
+
+impl QueryTable {
+    /// Whether a query with this id is in progress.
+    pub fn contains(&self, id: &str) -> bool {
+        self.ids.contains(id)
+    }
+
+    /// How many queries are not answered, and their shard requests.
+    pub fn open_count(&self) -> usize {
+        self.open
+    }
+
+    /// Adds a query whose answer goes to this client.
+    pub fn add_query(&mut self, id: &str, client: ConnectionId, deadline: Micros, text: String) -> QueryId {
+        let (id, text): (Rc<str>, Bytes) = (id.into(), text.into_bytes().into());
+        let client = Some(client);
+        self.ids.insert(id.clone());
+        self.open += 1;
+        QueryId(self.queries.insert(Query { id, client, deadline, text, shard_requests: Vec::new() }))
+    }
+
+    /// Adds a shard request to a query.
+    pub fn add_shard_request(&mut self, query: QueryId, shard: usize) -> ShardRequestId {
+        let entry = &mut self.queries[query.0];
+        let id = format!("{}.{shard}", entry.id).into();
+        let request = ShardRequest { id, query, shard, value: None, attempts: Vec::new() };
+        let request = ShardRequestId(self.shard_requests.insert(request));
+        entry.shard_requests.push(request);
+        self.open += 1;
+        request
+    }
+
+    /// Adds the next attempt at a shard request, which lasts for the timeout or until the query's deadline.
+    pub fn add_attempt(
+        &mut self, context: &mut Context, request: ShardRequestId, node: NodeId, timeout: Option<Micros>,
+    ) -> AttemptId {
+        let now = context.now;
+        let entry = &mut self.shard_requests[request.0];
+        let query = &self.queries[entry.query.0];
+        debug_invariant!(context.counters, !query.has_ended(), "no attempt after the final answer");
+        let deadline = timeout.map_or(query.deadline, |timeout| query.deadline.min(now + timeout));
+        let attempt = AttemptId::new(request, AttemptNumber(entry.attempts.len()));
+        entry.attempts.push(Attempt { node, requested_at: now, deadline, connection: None, finished: false });
+        context.timers.insert(deadline, Timer::AttemptTimeout(attempt));
+        attempt
+    }
+
+    /// A query, if it is in progress.
+    pub fn query(&self, query: QueryId) -> Option<&Query> {
+        self.queries.get(query.0)
+    }
+
+    /// A shard request.
+    pub fn shard_request(&self, request: ShardRequestId) -> &ShardRequest {
+        &self.shard_requests[request.0]
+    }
+
+    /// The shard request of an attempt and its query.
+    pub fn request_and_query(&self, request: ShardRequestId) -> (&ShardRequest, &Query) {
+        let entry = &self.shard_requests[request.0];
+        (entry, &self.queries[entry.query.0])
+    }
+
+    /// An attempt, if its query has not been released.
+    pub fn attempt(&self, attempt: AttemptId) -> Option<&Attempt> {
+        self.shard_requests.get(attempt.shard_request.0)?.attempts.get(attempt.number.0)
+    }
+
+    /// All attempts at a shard request.
+    pub fn attempts(&self, request: ShardRequestId) -> impl Iterator<Item = AttemptId> {
+        let count = self.shard_requests[request.0].attempts.len();
+        (0..count).map(move |number| AttemptId::new(request, AttemptNumber(number)))
+    }
+
+    /// The ids of these attempts' shard requests on the wire.
+    pub fn ids(&self, attempts: &[AttemptId]) -> Vec<Rc<str>> {
+        attempts.iter().map(|attempt| self.shard_request(attempt.shard_request).id.clone()).collect()
+    }
+
+    /// Notes the connection that an attempt is queued for.
+    pub fn set_connection(&mut self, attempt: AttemptId, connection: ConnectionId) {
+        let entry = &mut self.shard_requests[attempt.shard_request.0];
+        entry.attempts[attempt.number.0].connection = Some(connection);
+    }
+
+    /// Stores the value that a node answered with, unless another attempt brought one before.
+    pub fn store_value(&mut self, request: ShardRequestId, value: &str) {
+        self.shard_requests[request.0].value.get_or_insert_with(|| value.to_string());
+    }
+
+    /// Notes that an attempt has ended; `None` if that was known.
+    pub fn finish_attempt(
+        &mut self, context: &mut Context, attempt: AttemptId, outcome: AttemptOutcome,
+    ) -> Option<FinishedAttempt> {
+        let entry = self.shard_requests.get_mut(attempt.shard_request.0)?;
+        let state = entry.attempts.get_mut(attempt.number.0)?;
+        if std::mem::replace(&mut state.finished, true) {
+            return None;
+        }
+        context.timers.remove(state.deadline, Timer::AttemptTimeout(attempt));
+        count_outcome(context, outcome);
+        let latency = context.now - state.requested_at;
+        Some(FinishedAttempt { attempt, node: state.node, outcome, latency })
+    }
+
+    /// Notes that an attempt has ended; the balancer is told before its next decision.
+    pub fn finish_attempt_later(
+        &mut self, context: &mut Context, attempt: AttemptId, outcome: AttemptOutcome,
+    ) {
+        let finished = self.finish_attempt(context, attempt, outcome);
+        self.pending_outcomes.extend(finished);
+    }
+
+    /// Whether there are outcomes that the balancer has not been told of.
+    pub fn has_pending_outcomes(&self) -> bool {
+        !self.pending_outcomes.is_empty()
+    }
+
+    /// Takes the outcomes that the balancer has not been told of.
+    pub fn take_pending_outcomes(&mut self) -> Vec<FinishedAttempt> {
+        std::mem::take(&mut self.pending_outcomes)
+    }
+
+    /// A query is answered or its client has disconnected; returns the client, if it was waiting until now.
+    pub fn end_query(&mut self, query: QueryId) -> Option<ConnectionId> {
+        let entry = self.queries.get_mut(query.0)?;
+        let client = entry.client.take()?;
+        self.open -= 1 + entry.shard_requests.len();
+        Some(client)
+    }
+
+    /// Removes a query that has ended: its ids may be used again.
+    pub fn release_query(&mut self, query: QueryId) {
+        let Some(entry) = self.queries.try_remove(query.0) else { return };
+        self.ids.remove(&entry.id);
+        for request in entry.shard_requests {
+            self.shard_requests.remove(request.0);
+        }
+    }
+
+    /// The body of a query's answer: the values as data nodes answered them.
+    pub fn answer_body(&self, query: QueryId, complete: bool) -> AnswerBody {
+        let requests = &self.queries[query.0].shard_requests;
+        let matches: Vec<Json> = requests
+            .iter()
+            .map(|&request| self.shard_request(request))
+            .filter_map(|request| {
+                let value = request.value.as_ref()?;
+                Some(json!({"segment": request.shard, "payload": value}))
+            })
+            .collect();
+        let values = matches.len();
+        let bytes = json!({"all_in": complete, "matches": matches}).to_string().into_bytes();
+        AnswerBody { bytes, values }
+    }
+}
+
+fn count_outcome(context: &mut Context, outcome: AttemptOutcome) {
+    let counters = &mut context.counters;
+    let count = match outcome {
+        AttemptOutcome::Succeeded => &mut counters.attempts_succeeded,
+        AttemptOutcome::ServerError => &mut counters.attempts_server_error,
+        AttemptOutcome::Rejected => &mut counters.attempts_rejected,
+        AttemptOutcome::TimedOut => &mut counters.attempts_timed_out,
+        AttemptOutcome::ConnectFailed => &mut counters.attempts_connect_failed,
+        AttemptOutcome::ConnectionLost => &mut counters.attempts_connection_lost,
+        AttemptOutcome::Cancelled => &mut counters.attempts_cancelled,
+        AttemptOutcome::NotSent => &mut counters.attempts_not_sent,
+        AttemptOutcome::MalformedResponse => &mut counters.attempts_malformed_response,
+    };
+    *count += 1;
+}
--- /dev/null
+++ b/crates/query-router/src/router/shutdown.rs
@@ -0,0 +1,67 @@
+//! Graceful shutdown: what SIGTERM begins. Clients that connect or send a request meanwhile are still served, then
+//! idle connections are closed, and whatever is not answered by the deadline is answered with an error.
+
+use crate::router::timers::{Timer, Timers};
+use balancer::Micros;
+
+/// How long new connections may still come, since clients learn of the shutdown late; with the protocol's slack.
+pub const ACCEPTING_FOR: Micros = 450_000;
+/// The process is killed this long after SIGTERM, plus the longest deadline.
+pub const KILLED_AFTER: Micros = 700_000;
+/// The most that the longest deadline counts for in that.
+const MAX_DEADLINE_COUNTED: Micros = 3_000_000;
+/// How long before it is killed everything is answered, with twice the protocol's slack.
+const ANSWERED_BEFORE_KILL: Micros = 100_000;
+
+#[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
+enum Phase {
+    #[default]
+    Running,
+    /// New connections and requests still come.
+    Draining,
+    /// Connections without a request are closed.
+    ClosingIdle,
+}
+
+/// How far a graceful shutdown has come.
+#[derive(Debug, Default)]
+pub struct Shutdown {
+    phase: Phase,
+    answer_deadline: Option<Micros>,
+}
+
+impl Shutdown {
+    /// Begins a graceful shutdown; false if it had begun before.
+    pub fn begin(&mut self, timers: &mut Timers, now: Micros, longest_deadline: Micros) -> bool {
+        if self.has_begun() {
+            return false;
+        }
+        self.phase = Phase::Draining;
+        let killed_at = now + KILLED_AFTER + longest_deadline.min(MAX_DEADLINE_COUNTED);
+        let answer_deadline = killed_at - ANSWERED_BEFORE_KILL;
+        self.answer_deadline = Some(answer_deadline);
+        timers.insert(now + ACCEPTING_FOR, Timer::CloseIdleClients);
+        timers.insert(answer_deadline, Timer::AnswerDeadline);
+        true
+    }
+
+    /// Connections without a request are closed from now on.
+    pub fn close_idle(&mut self) {
+        self.phase = Phase::ClosingIdle;
+    }
+
+    /// Whether the process was told to end.
+    pub fn has_begun(&self) -> bool {
+        self.phase >= Phase::Draining
+    }
+
+    /// Whether connections without a request are closed.
+    pub fn closes_idle(&self) -> bool {
+        self.phase == Phase::ClosingIdle
+    }
+
+    /// The time by which everything is answered.
+    pub fn answer_deadline(&self) -> Option<Micros> {
+        self.answer_deadline
+    }
+}
--- a/crates/query-router/src/reducer/tests/disorder.rs
+++ b/crates/query-router/src/router/tests/disorder.rs
@@ -76,13 +76,13 @@
     }
 
     fn settle(&mut self) {
-        self.router.settle(self.now);
+        self.router.decide(self.now);
         self.carry_out();
     }
 
     fn carry_out(&mut self) {
         loop {
-            for effect in std::mem::take(&mut self.router.desk.effects) {
+            for effect in self.router.take_effects() {
                 self.effect(effect);
             }
             if self.after.is_empty() {
@@ -171,9 +171,10 @@
                     let id = words.next().expect("an id").to_string();
                     let length: usize = words.nth(2).expect("a length").parse().expect("a length");
                     rest = &rest[at + 1 + length..];
-                    let gather = &self.router.desk.gather;
-                    let part = gather.parts.iter().find(|part| *part.1.id == *id);
-                    let open = part.is_some_and(|part| !gather.retrievals[part.1.retrieval].ended());
+                    let queries = &self.router.state.queries;
+                    let part = queries.shard_requests.iter().find(|part| *part.1.id == *id);
+                    let open =
+                        part.is_some_and(|part| !queries.query(part.1.query).expect("a query").has_ended());
                     assert!(open, "{id} goes out though its query has ended");
                     if id.starts_with("pay") {
                         *self.whole.entry(id.clone()).or_default() += 1;
@@ -288,7 +289,7 @@
 
     fn pass(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(at) = self.router.desk.timer.filter(|&at| at <= end) {
+        while let Some(at) = self.router.wake_at.filter(|&at| at <= end) {
             self.now = self.now.max(at);
             self.tell(Event::Alarm);
             self.settle();
@@ -381,10 +382,10 @@
             world.pass(10_000);
         }
         // The process may be killed this long after; by then all are answered whose answers can be written.
-        world.pass(KILLED_AFTER + 2_000_000);
+        world.pass(shutdown::KILLED_AFTER + 2_000_000);
         world.settle();
-        let desk = &world.router.desk;
-        assert_eq!(desk.gather.open, 0, "seed {seed}: a query without an answer");
+        let state = &world.router.state;
+        assert_eq!(state.queries.open_count(), 0, "seed {seed}: a query without an answer");
         let clients: Vec<ConnectionId> =
             world.ends.iter().filter(|end| end.1.port.is_none()).map(|end| *end.0).collect();
         for conn in clients {
@@ -393,14 +394,14 @@
         }
         // Those that wait for one of few sockets come in turn, each for two seconds.
         world.pass(200_000_000);
-        let desk = &world.router.desk;
+        let state = &world.router.state;
         assert!(world.exit, "seed {seed}: it does not end");
-        assert_eq!((desk.gather.retrievals.len(), desk.gather.parts.len()), (0, 0), "seed {seed}");
-        let known: BTreeSet<ConnectionId> = desk.peers.iter().map(|peer| peer.0).collect();
+        assert_eq!((state.queries.queries.len(), state.queries.shard_requests.len()), (0, 0), "seed {seed}");
+        let known: BTreeSet<ConnectionId> = state.context.connections.ids().collect();
         assert_eq!(known, world.ends.keys().copied().collect(), "seed {seed}: connections of nobody");
-        assert_eq!(desk.counters.invariants_violated, 0);
+        assert_eq!(state.context.counters.invariants_violated, 0);
         // What may not run twice went out whole once, unless a node turned it away for certain.
-        let turned_away = desk.counters.attempts_rejected;
+        let turned_away = state.context.counters.attempts_rejected;
         let again = world.whole.values().filter(|&&times| times > 1).count() as u64;
         assert!(again <= turned_away, "seed {seed}: {again} sent again, {turned_away} turned away");
     }
--- a/crates/query-router/src/reducer/tests/ends.rs
+++ b/crates/query-router/src/router/tests/ends.rs
@@ -12,7 +12,7 @@
     bench.tell(Event::Received(late, b"GET /-/ready HTTP/1.1\r\n\r\n"));
     assert!(bench.said(late).starts_with("HTTP/1.1 503") && bench.said(late).contains("Connection: close"));
     assert_eq!(bench.finished, [late]);
-    bench.pass(STILL_COMING);
+    bench.pass(shutdown::ACCEPTING_FOR);
     assert_eq!((&bench.finished[..], bench.exit), (&[late, idle][..], false));
     bench.tell(Event::Ended(late, 0));
     bench.tell(Event::Ended(idle, 0));
--- a/crates/query-router/src/reducer/tests/lists.rs
+++ b/crates/query-router/src/router/tests/lists.rs
@@ -23,26 +23,27 @@
         for piece in [&text.as_bytes()[..at], &text.as_bytes()[at..]] {
             left.extend_from_slice(piece);
             bench.router.step(START, Event::Received(watch, &left));
-            for effect in std::mem::take(&mut bench.router.desk.effects) {
+            for effect in bench.router.take_effects() {
                 if let Effect::Taken(_, count) = effect {
                     left.drain(..count);
                 }
             }
         }
-        let ready: Vec<bool> = bench.router.desk.scatter.nodes.iter().map(|place| place.ready).collect();
+        let ready: Vec<bool> =
+            bench.router.state.context.endpoints.records().iter().map(|place| place.ready).collect();
         assert_eq!((ready, left.len()), (vec![true, false], 0), "split at {at}");
         // A watch that was well is begun anew in the moment in which it counts as silent.
         bench.pass(3_999_999);
-        assert_eq!((bench.links[0].0, bench.router.desk.counters.endpoint_watches_silent), (watch, 0));
+        assert_eq!((bench.links[0].0, bench.router.counters().endpoint_watches_silent), (watch, 0));
         bench.pass(1);
-        assert_eq!((bench.links.len(), bench.router.desk.counters.endpoint_watches_silent), (1, 1));
-        assert_eq!(bench.router.desk.counters.discovery_failures, 0);
+        assert_eq!((bench.links.len(), bench.router.counters().endpoint_watches_silent), (1, 1));
+        assert_eq!(bench.router.counters().discovery_failures, 0);
         let most = (0..160).map(|_| {
             bench.pass(100_000);
             bench.links.len()
         });
         assert_eq!(most.max(), Some(1), "one watch at a time");
-        assert!(bench.router.desk.counters.discovery_failures > 1);
+        assert!(bench.router.counters().discovery_failures > 1);
     }
 }
 
@@ -59,7 +60,7 @@
         bench.pass(1_000_000);
     }
     assert!(bench.links.iter().all(|link| link.0 != watch) || bench.closed.contains(&watch));
-    assert_eq!(bench.router.desk.counters.discovery_failures, 1);
+    assert_eq!(bench.router.counters().discovery_failures, 1);
 }
 
 /// A router whose lists are pushed.
@@ -75,7 +76,7 @@
     let mut bench = told();
     // Two calls fail, one of them a list: each sets a time for the next watch.
     let first = bench.links[0].0;
-    bench.router.desk.call(false);
+    bench.poll();
     bench.effects();
     let list = bench.links[1].0;
     bench.tell(Event::Ended(first, 0));
@@ -86,9 +87,9 @@
     bench.tell(Event::Up(again));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     bench.tell(Event::Received(again, head.as_bytes()));
-    let calls = bench.router.desk.counters.discovery_requests;
+    let calls = bench.router.counters().discovery_requests;
     bench.pass(3_000_000);
-    assert_eq!(bench.router.desk.counters.discovery_requests, calls);
+    assert_eq!(bench.router.counters().discovery_requests, calls);
     assert_eq!(bench.links.len(), 1);
 }
 
@@ -123,7 +124,7 @@
         let mut bench = Bench::of(&config);
         bench.tell(Event::Ended(bench.links[0].0, 0));
         bench.settle();
-        bench.router.desk.timer
+        bench.router.wake_at
     };
     let times: std::collections::BTreeSet<_> = (0..50).map(|seed| again(&format!("\"{seed:x}\""))).collect();
     assert!(times.len() > 45, "{} times", times.len());
@@ -138,14 +139,14 @@
         [(&chunked, false, 0), (&chunked, true, 0), (&open, false, 0), (&open, true, 1)]
     {
         let mut bench = Bench::new();
-        let call = bench.router.desk.call(false).expect("a socket");
+        let call = bench.poll().expect("a socket");
         bench.tell(Event::Up(call));
         bench.tell(Event::Received(call, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes()));
         if closed {
             bench.tell(Event::Closed(call));
         }
         bench.tell(Event::Ended(call, 0));
-        let counters = &bench.router.desk.counters;
+        let counters = bench.router.counters();
         assert_eq!(
             (counters.endpoint_lists_full, counters.discovery_failures),
             (1 + listed, 1 - listed),
@@ -171,7 +172,7 @@
     for piece in bytes.chunks(piece) {
         left.extend_from_slice(piece);
         bench.router.step(START, Event::Received(call, &left));
-        for effect in std::mem::take(&mut bench.router.desk.effects) {
+        for effect in bench.router.take_effects() {
             if let Effect::Taken(_, count) = effect {
                 left.drain(..count);
             }
@@ -182,11 +183,11 @@
 /// How many nodes of 0 to 2,000 are taken for ready after an answer.
 fn ready_after(watch: bool, bytes: &[u8], piece: usize) -> usize {
     let mut bench = Bench::new();
-    let call = if watch { bench.links[0].0 } else { bench.router.desk.call(false).expect("a socket") };
+    let call = if watch { bench.links[0].0 } else { bench.poll().expect("a socket") };
     bench.effects();
     bench.tell(Event::Up(call));
     tell_in_pieces(&mut bench, call, bytes, piece);
-    bench.router.desk.scatter.nodes.iter().filter(|place| place.ready).count()
+    bench.router.state.context.endpoints.records().iter().filter(|place| place.ready).count()
 }
 
 #[test]
@@ -226,7 +227,10 @@
             if indented { serde_json::to_string_pretty(&config) } else { serde_json::to_string(&config) };
         let config = Config::parse(&text.expect("JSON")).expect("fit to serve");
         let mut bench = Bench { router: Router::new(&config, START), ..Bench::new() };
-        assert_eq!(bench.router.desk.scatter.nodes.iter().filter(|place| place.ready).count(), 1_100);
+        assert_eq!(
+            bench.router.state.context.endpoints.records().iter().filter(|place| place.ready).count(),
+            1_100
+        );
         let conn = bench.ask("look", "t1");
         let links = bench.links.iter().filter(|link| link.1 >= 2_000).count();
         assert!(links > 0 && bench.said(conn).is_empty(), "its parts are on their way");
@@ -260,23 +264,26 @@
         (false, "x".repeat(crate::protocol::json_stream::MAX_ENDPOINT_LIST_BYTES + 1)),
     ] {
         let mut bench = Bench::new();
-        let call = if watch { bench.links[0].0 } else { bench.router.desk.call(false).expect("a socket") };
+        let call = if watch { bench.links[0].0 } else { bench.poll().expect("a socket") };
         bench.effects();
         bench.tell(Event::Up(call));
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         bench.tell(Event::Received(call, text.as_bytes()));
-        let counters = &bench.router.desk.counters;
+        let counters = bench.router.counters();
         assert_eq!(
             (counters.endpoint_lists_invalid, counters.discovery_failures),
             (1, 1),
             "{}",
             &body[..body.len().min(80)]
         );
-        assert!(bench.router.desk.scatter.nodes.iter().all(|place| place.ready), "the list in hand stays");
-        let calls = bench.router.desk.counters.discovery_requests;
+        assert!(
+            bench.router.state.context.endpoints.records().iter().all(|place| place.ready),
+            "the list in hand stays"
+        );
+        let calls = bench.router.counters().discovery_requests;
         bench.settle();
         bench.pass(20_000_000);
-        assert!(bench.router.desk.counters.discovery_requests > calls);
+        assert!(bench.router.counters().discovery_requests > calls);
     }
     // A length that no list has is not believed, however little comes.
     let mut bench = Bench::new();
@@ -284,7 +291,7 @@
     bench.tell(Event::Up(call));
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{", usize::MAX);
     bench.tell(Event::Received(call, text.as_bytes()));
-    assert_eq!(bench.router.desk.counters.endpoint_lists_invalid, 1);
+    assert_eq!(bench.router.counters().endpoint_lists_invalid, 1);
 }
 
 #[test]
@@ -304,11 +311,11 @@
     bench.tell(Event::Received(call, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes()));
     for _ in 0..3 {
         bench.pass(1_500_000);
-        if bench.router.desk.kind(call).is_some() {
+        if bench.router.state.context.connections.kind(call).is_some() {
             bench.tell(Event::Received(call, b"1\r\n\n\r\n"));
         }
     }
-    assert_eq!(bench.router.desk.counters.discovery_failures, 1);
+    assert_eq!(bench.router.counters().discovery_failures, 1);
 }
 
 #[test]
@@ -317,7 +324,7 @@
     let client = bench.ask("look", "t1");
     let (link, _) = bench.up();
     let old = bench.links[0].0;
-    bench.router.desk.call(false);
+    bench.poll();
     bench.effects();
     let list = bench.links.last().expect("a call").0;
     bench.tell(Event::Discovery("127.0.0.1:9".parse().expect("an address")));
--- a/crates/query-router/src/reducer/tests.rs
+++ b/crates/query-router/src/router/tests/mod.rs
@@ -5,9 +5,9 @@
 mod lists;
 
 use super::*;
-use crate::io::Piece;
+use crate::io::Bytes;
 use crate::protocol::frames;
-use balancer::EndpointUpdate;
+use balancer::AttemptNumber;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -74,18 +74,18 @@
     }
 
     fn settle(&mut self) {
-        self.router.settle(self.now);
+        self.router.decide(self.now);
         self.effects();
     }
 
     fn effects(&mut self) {
-        while !self.router.desk.effects.is_empty() {
-            for effect in std::mem::take(&mut self.router.desk.effects) {
+        while !self.router.state.context.effects.is_empty() {
+            for effect in self.router.take_effects() {
                 match effect {
                     Effect::Adopt(conn) => self.adopted.push(conn),
                     Effect::Connect(conn, to) => self.links.push((conn, to.port())),
                     Effect::Write(conn, pieces) | Effect::Send(conn, pieces, _) => {
-                        let bytes = pieces.iter().flat_map(|piece: &Piece| piece.to_vec());
+                        let bytes = pieces.iter().flat_map(|piece: &Bytes| piece.to_vec());
                         let left = if self.slow { 12 } else { usize::MAX };
                         self.written.entry(conn).or_default().extend(bytes.take(left));
                         if !self.slow {
@@ -110,11 +110,29 @@
         }
     }
 
+    fn send_batches(&mut self) {
+        let State { context, queries, dispatcher, .. } = &mut self.router.state;
+        dispatcher.send_batches(context, queries);
+    }
+
+    fn connection_for(&mut self, node: usize, ids: &[std::rc::Rc<str>]) -> Option<ConnectionId> {
+        let State { context, queries, dispatcher, .. } = &mut self.router.state;
+        dispatcher.node_connections.connection_for(context, queries, NodeId(node), ids)
+    }
+
+    fn poll(&mut self) -> Option<ConnectionId> {
+        self.router.state.discovery.poll(&mut self.router.state.context)
+    }
+
+    fn update(&mut self, list: &serde_json::Value, update: EndpointUpdate) {
+        self.router.apply_endpoint_list(&EndpointList { update, json: list.clone() });
+    }
+
     /// Lets time pass, waking the router whenever it asked to be.
     fn pass(&mut self, span: Micros) {
         self.settle();
         let end = self.now + span;
-        while let Some(at) = self.router.desk.timer.filter(|&at| at <= end) {
+        while let Some(at) = self.router.wake_at.filter(|&at| at <= end) {
             self.now = self.now.max(at);
             self.tell(Event::Alarm);
             self.settle();
@@ -180,33 +198,36 @@
     let body =
         r#"{"all_in":true,"matches":[{"payload":"alpha","segment":0},{"payload":"beta\"","segment":1}]}"#;
     assert!(bench.said(client).starts_with("HTTP/1.1 200 OK") && bench.said(client).ends_with(body));
-    assert_eq!((bench.router.desk.gather.open, bench.router.desk.gather.parts.len()), (0, 0));
+    assert_eq!(
+        (bench.router.state.queries.open_count(), bench.router.state.queries.shard_requests.len()),
+        (0, 0)
+    );
 }
 
 #[test]
 fn what_comes_within_a_tick_is_decided_together() {
     let mut bench = Bench::new();
-    bench.router.desk.tick = 5_000;
+    bench.router.state.context.limits.decision_interval = 5_000;
     bench.now += 5_000;
     bench.ask("look", "t1");
     bench.now += 1_000;
     bench.ask("look", "t2");
-    assert_eq!(bench.router.desk.counters.attempts_requested, 2);
+    assert_eq!(bench.router.counters().attempts_requested, 2);
     bench.pass(3_000);
-    assert_eq!(bench.router.desk.counters.attempts_requested, 2);
+    assert_eq!(bench.router.counters().attempts_requested, 2);
     bench.pass(1_000);
-    assert_eq!(bench.router.desk.counters.attempts_requested, 4);
+    assert_eq!(bench.router.counters().attempts_requested, 4);
 }
 
 #[test]
 fn a_request_that_lay_behind_another_wakes_the_router() {
     let mut bench = Bench::new();
-    bench.router.desk.tick = 5_000;
+    bench.router.state.context.limits.decision_interval = 5_000;
     let client = bench.client();
     bench.settle();
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
     bench.tell(Event::Received(client, post("look", "t1", body).as_bytes()));
-    assert_eq!(bench.router.desk.timer, Some(START + 5_000));
+    assert_eq!(bench.router.wake_at, Some(START + 5_000));
 }
 
 #[test]
@@ -237,7 +258,7 @@
         bench.settle();
         assert_eq!(bench.said(link), "");
     }
-    assert_eq!(bench.router.desk.counters.attempts_sent, 0);
+    assert_eq!(bench.router.counters().attempts_sent, 0);
 }
 
 #[test]
@@ -248,7 +269,7 @@
     // Sockets are heard before alarms: the alarm is due in this turn too.
     bench.now += 1_500_000;
     bench.tell(Event::Up(link));
-    assert_eq!((bench.said(link), bench.router.desk.counters.attempts_not_sent), (String::new(), 2));
+    assert_eq!((bench.said(link), bench.router.counters().attempts_not_sent), (String::new(), 2));
 }
 
 #[test]
@@ -268,15 +289,11 @@
     let mut bench = Bench::new();
     let _clients: Vec<ConnectionId> = (0..4).map(|_| bench.client()).collect();
     let client = bench.ask("pay", "t1");
-    assert_eq!(
-        (bench.links.len(), bench.router.desk.counters.attempts_requested),
-        (1, 2),
-        "discovery's alone"
-    );
+    assert_eq!((bench.links.len(), bench.router.counters().attempts_requested), (1, 2), "discovery's alone");
     bench.tell(Event::Ended(client, 0));
     bench.pass(500_000);
-    assert_eq!((bench.links.len(), bench.router.desk.counters.attempts_not_sent), (1, 2));
-    assert_eq!(bench.router.desk.gather.parts.len(), 0);
+    assert_eq!((bench.links.len(), bench.router.counters().attempts_not_sent), (1, 2));
+    assert_eq!(bench.router.state.queries.shard_requests.len(), 0);
 }
 
 #[test]
@@ -293,7 +310,7 @@
     bench.settle();
     let (link, _) = bench.up();
     assert!(bench.said(link).contains("t2.0") && !bench.said(link).contains("t1"), "{}", bench.said(link));
-    assert_eq!(bench.router.desk.counters.attempts_sent, 2);
+    assert_eq!(bench.router.counters().attempts_sent, 2);
 }
 
 #[test]
@@ -305,7 +322,7 @@
     assert_eq!(bench.said(link).len(), 12);
     bench.tell(Event::Ended(client, 0));
     assert!(bench.closed.contains(&link));
-    assert_eq!(bench.router.desk.counters.attempts_not_sent, 2);
+    assert_eq!(bench.router.counters().attempts_not_sent, 2);
 }
 
 #[test]
@@ -314,10 +331,10 @@
     bench.slow = true;
     let client = bench.ask("pay", "t1");
     let (link, _) = bench.up();
-    let parts = bench.router.desk.gather.parts.len();
+    let parts = bench.router.state.queries.shard_requests.len();
     bench.pass(1_600_000);
     assert!(bench.closed.contains(&link) && bench.said(client).starts_with("HTTP/1.1 50"));
-    let counters = &bench.router.desk.counters;
+    let counters = bench.router.counters();
     assert_eq!((parts, counters.attempts_connect_failed, counters.attempts_cancelled), (2, 0, 0));
     assert_eq!(counters.attempts_not_sent, 2);
 }
@@ -333,8 +350,11 @@
     bench.answer(link, "t1.0 OK 5 -", "alpha");
     bench.answer(link, "t1.0 OK 5 -", "alpha");
     bench.pass(2_000_000);
-    assert_eq!((bench.said(client), bench.router.desk.counters.responses_late), (String::new(), 1));
-    assert_eq!((bench.router.desk.counters.attempts_timed_out, bench.router.desk.gather.parts.len()), (1, 0));
+    assert_eq!((bench.said(client), bench.router.counters().responses_late), (String::new(), 1));
+    assert_eq!(
+        (bench.router.counters().attempts_timed_out, bench.router.state.queries.shard_requests.len()),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -343,12 +363,12 @@
     bench.ask("look", "t1");
     let (first, port) = bench.up();
     let node = if port == 71 { 0 } else { 1 };
-    bench.router.desk.send_shot(0, node, None);
-    bench.router.desk.write_calls();
+    bench.router.state.send_attempt(ShardRequestId(0), NodeId(node), None);
+    bench.send_batches();
     bench.effects();
     let (second, _) = bench.up();
     assert!(second != first && bench.said(second).contains("t1.0"));
-    assert_eq!(bench.router.desk.gather.parts[0].shots[1].link, Some(second));
+    assert_eq!(bench.router.state.queries.shard_requests[0].attempts[1].connection, Some(second));
 }
 
 #[test]
@@ -372,14 +392,16 @@
             if !bench.closed.contains(&link) {
                 bench.tell(Event::Received(link, &bytes));
             }
-            let counters = &bench.router.desk.counters;
+            let counters = bench.router.counters();
             let ends = (
                 counters.attempts_malformed_response,
                 counters.attempts_cancelled,
                 counters.attempts_connection_lost,
             );
             assert_eq!((&bench.closed[..], ends), (&[link][..], (1, 1, 0)), "{bytes:?}");
-            assert!(split < bytes.len() - 1 || bench.router.desk.gather.parts[at].shots[0].over);
+            assert!(
+                split < bytes.len() - 1 || bench.router.state.queries.shard_requests[at].attempts[0].finished
+            );
             bench.settle();
             assert!(bench.said(client).starts_with("HTTP/1.1 502"), "it may have run");
         }
@@ -397,31 +419,32 @@
     bench.pass(249_000);
     assert!(!bench.closed.contains(&link));
     bench.pass(2_000);
-    assert!(bench.closed.contains(&link) && bench.router.desk.counters.attempts_malformed_response == 1);
+    assert!(bench.closed.contains(&link) && bench.router.counters().attempts_malformed_response == 1);
     // One that has said nothing since a shot that another overtook is worn.
     let node = if port == 71 { 0 } else { 1 };
     bench.ask("look", "t2");
-    let part = bench.router.desk.gather.parts.iter().find(|p| &*p.1.id == "t2.0").expect("a part").0;
+    let part =
+        bench.router.state.queries.shard_requests.iter().find(|p| &*p.1.id == "t2.0").expect("a part").0;
     let (silent, _) = bench.up();
-    bench.router.desk.gather.parts[part].value = Some("alpha".into());
-    bench.router.desk.give_up(part, 0, AttemptOutcome::Cancelled);
+    bench.router.state.queries.shard_requests[part].value = Some("alpha".into());
+    bench.router.state.cancel_attempt(AttemptId::new(ShardRequestId(part), AttemptNumber(0)));
     bench.effects();
     let ids = ["t3.0".into()];
-    let other = bench.router.desk.link_for(node, &ids);
+    let other = bench.connection_for(node, &ids);
     assert!(other.is_some_and(|conn| conn != silent));
 }
 
 #[test]
 fn calls_share_a_connection_only_where_a_nodes_share_of_the_sockets_is_used_up() {
     let mut bench = Bench::new();
-    bench.router.desk.most_peers = 9;
+    bench.router.state.context.limits.max_connections = 9;
     let ids: Vec<std::rc::Rc<str>> = vec!["t1.0".into()];
     let links: Vec<ConnectionId> = (0..4)
         .map(|_| {
-            let conn = bench.router.desk.link_for(0, &ids).expect("a socket");
+            let conn = bench.connection_for(0, &ids).expect("a socket");
             bench.effects();
             bench.tell(Event::Up(conn));
-            bench.router.desk.link(conn).call(Vec::new());
+            bench.router.state.context.connections.node(conn).queue_batch(Vec::new());
             conn
         })
         .collect();
@@ -446,14 +469,14 @@
         bench.tell(Event::Received(link, &[good, more].concat()));
         bench.settle();
         assert!(bench.said(client).starts_with("HTTP/1.1 200"), "{behind}");
-        assert!(bench.closed.contains(&link) && bench.router.desk.counters.frames_malformed == 0);
+        assert!(bench.closed.contains(&link) && bench.router.counters().frames_malformed == 0);
     }
 }
 
 #[test]
 fn bad_requests_are_told_off_and_the_module_is_not_troubled() {
     let mut bench = Bench::new();
-    let turns = bench.router.desk.counters.decisions;
+    let turns = bench.router.counters().decisions;
     for (request, status) in [
         ("GET /api HTTP/1.1\r\n\r\n".to_string(), "405"),
         ("GET /else HTTP/1.1\r\n\r\n".to_string(), "404"),
@@ -470,7 +493,7 @@
         bench.tell(Event::Ended(client, 0));
         bench.written.clear();
     }
-    assert_eq!(bench.router.desk.counters.decisions, turns);
+    assert_eq!(bench.router.counters().decisions, turns);
 }
 
 #[test]
@@ -484,7 +507,7 @@
         bench.tell(Event::Received(client, &request.as_bytes()[..end]));
     }
     assert_eq!(bench.said(client), "HTTP/1.1 100 Continue\r\n\r\n");
-    assert_eq!(bench.router.desk.counters.queries_accepted, 1);
+    assert_eq!(bench.router.counters().queries_accepted, 1);
 }
 
 #[test]
@@ -498,9 +521,12 @@
     let client = bench.client();
     bench.tell(Event::Received(client, b"GET /-/ready HTTP/1.1\r\n\r\n"));
     bench.pass(1_900_000);
-    assert_eq!((bench.said(client).as_str(), bench.router.desk.clients_open()), ("HTTP/1.1 200", 1));
+    assert_eq!(
+        (bench.said(client).as_str(), bench.router.state.context.connections.clients().count()),
+        ("HTTP/1.1 200", 1)
+    );
     bench.pass(200_000);
-    assert_eq!(bench.router.desk.clients_open(), 0);
+    assert_eq!(bench.router.state.context.connections.clients().count(), 0);
 }
 
 #[test]
@@ -508,7 +534,7 @@
     let mut bench = Bench::new();
     let clients: Vec<ConnectionId> = (0..3).map(|i| bench.ask("look", &format!("t{i}"))).collect();
     assert!(bench.said(clients[2]).starts_with("HTTP/1.1 503"));
-    assert_eq!((bench.said(clients[1]), bench.router.desk.counters.queries_over_limit), (String::new(), 1));
+    assert_eq!((bench.said(clients[1]), bench.router.counters().queries_over_limit), (String::new(), 1));
 }
 
 #[test]
@@ -525,7 +551,7 @@
     // Six connections are allowed; one is discovery's. A new one is about to have its request: it stays.
     let clients: Vec<ConnectionId> = (0..5).map(|_| bench.client()).collect();
     bench.tell(Event::Arrived);
-    assert_eq!((bench.adopted.len(), bench.router.desk.counters.client_connections_delayed), (5, 1));
+    assert_eq!((bench.adopted.len(), bench.router.counters().client_connections_delayed), (5, 1));
     // One that has been answered and has nothing unread is parted with.
     bench.tell(Event::Received(clients[3], b"GET /-/ready HTTP/1.1\r\n\r\n"));
     bench.settle();
@@ -550,7 +576,7 @@
 #[test]
 fn clients_that_ask_once_and_stay_or_never_ask_leave_room_for_others() {
     let mut bench = Bench::new();
-    bench.router.desk.most_peers = 24;
+    bench.router.state.context.limits.max_connections = 24;
     // A sixth of the sockets may rest with clients that ask nothing.
     let asked: Vec<ConnectionId> = (0..6)
         .map(|_| {
@@ -566,7 +592,7 @@
     assert_eq!(bench.closed.len(), 6);
     assert!(!silent.iter().any(|conn| bench.closed[6..].contains(conn)));
     bench.pass(2_100_000);
-    assert_eq!((bench.closed.len(), bench.router.desk.clients_open()), (8, 4));
+    assert_eq!((bench.closed.len(), bench.router.state.context.connections.clients().count()), (8, 4));
 }
 
 #[test]
@@ -579,7 +605,7 @@
     bench.settle();
     let (link, _) = bench.up();
     assert!(bench.said(link).contains("t1.0") && bench.said(busy).is_empty());
-    assert_eq!(bench.router.desk.counters.attempts_connect_failed, 0);
+    assert_eq!(bench.router.counters().attempts_connect_failed, 0);
 }
 
 #[test]
@@ -587,17 +613,17 @@
     let mut bench = Bench::new();
     let clients: Vec<ConnectionId> = (0..4).map(|_| bench.client()).collect();
     bench.ask("pay", "t1");
-    let node = bench.router.desk.gather.parts[0].shots[0].node;
+    let node = bench.router.state.queries.shard_requests[0].attempts[0].node.0;
     let members = [("a", 71), ("b", 72)].into_iter().enumerate().map(|(i, (id, port))| {
         let phase = if i == node { "draining" } else { "ready" };
         serde_json::json!({"id": id, "host_port": format!("127.0.0.1:{port}"), "cell": 0, "phase": phase})
     });
     let list = serde_json::json!({"revision": 42, "members": members.collect::<Vec<_>>()});
-    bench.router.list(&list, EndpointUpdate::Incremental);
+    bench.update(&list, EndpointUpdate::Incremental);
     bench.tell(Event::Ended(clients[0], 0));
     bench.settle();
     let (_, port) = bench.up();
-    assert_eq!((port, bench.router.desk.counters.attempts_not_sent), ([72, 71][node], 2));
+    assert_eq!((port, bench.router.counters().attempts_not_sent), ([72, 71][node], 2));
 }
 
 #[test]
@@ -611,26 +637,23 @@
             "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": up}]})
     };
     // Not up yet: taken back unsent and sent elsewhere.
-    bench.router.list(&list("draining", 0), EndpointUpdate::Incremental);
+    bench.update(&list("draining", 0), EndpointUpdate::Incremental);
     bench.settle();
     bench.settle();
-    assert_eq!(bench.router.desk.counters.attempts_not_sent, 2);
+    assert_eq!(bench.router.counters().attempts_not_sent, 2);
     bench.tell(Event::Up(link));
     let (other, other_port) = bench.up();
     assert!(other_port != port && bench.said(link).is_empty() && bench.said(other).contains("t1.0"));
     // Up before the process started: it is gone, and what was out on it may have run.
-    bench.router.list(&list("ready", 0), EndpointUpdate::Incremental);
+    bench.update(&list("ready", 0), EndpointUpdate::Incremental);
     bench.now += 100_000;
     let up = (bench.now - 50_000) / 1000;
     let id = if other_port == 71 { "a" } else { "b" };
     let fresh = serde_json::json!({"revision": 51, "members": [{"id": id, "cell": 0, "phase": "ready",
         "host_port": format!("127.0.0.1:{other_port}"), "size": 1.0, "up_since_ms": up}]});
-    bench.router.list(&fresh, EndpointUpdate::Incremental);
+    bench.update(&fresh, EndpointUpdate::Incremental);
     bench.effects();
-    assert_eq!(
-        (bench.router.desk.counters.attempts_connection_lost, bench.closed.contains(&other)),
-        (2, true)
-    );
+    assert_eq!((bench.router.counters().attempts_connection_lost, bench.closed.contains(&other)), (2, true));
 }
 
 #[test]
@@ -641,14 +664,15 @@
         // It goes while its parts are out, and they are answered afterwards.
         let ids = ["a", "b"].map(|id| serde_json::json!({"id": id, "cell": 0, "phase": "gone"}));
         let members = [vec![member(i, "ready")], ids.to_vec()].concat();
-        bench
-            .router
-            .list(&serde_json::json!({"revision": 42 + i, "members": members}), EndpointUpdate::Incremental);
+        bench.update(
+            &serde_json::json!({"revision": 42 + i, "members": members}),
+            EndpointUpdate::Incremental,
+        );
         bench.settle();
         let client = bench.ask("look", &format!("t{i}"));
         let (link, _) = bench.up();
         let gone = serde_json::json!({"revision": 42 + i, "members": [member(i, "gone")]});
-        bench.router.list(&gone, EndpointUpdate::Incremental);
+        bench.update(&gone, EndpointUpdate::Incremental);
         bench.settle();
         bench.answer(link, &format!("t{i}.0 OK 5 -"), "alpha");
         bench.answer(link, &format!("t{i}.1 OK 5 -"), "beta");
@@ -657,13 +681,16 @@
         bench.tell(Event::Ended(client, 0));
         bench.written.clear();
     }
-    let desk = &bench.router.desk;
+    let state = &bench.router.state;
     assert!(
-        desk.scatter.nodes.len() <= 4 && desk.discovery.nodes.count() <= 1,
+        state.context.endpoints.len() <= 4 && state.context.endpoints.id_count() <= 1,
         "{}",
-        desk.scatter.nodes.len()
+        state.context.endpoints.len()
+    );
+    assert_eq!(
+        (state.queries.shard_requests.len(), state.queries.queries.len(), state.context.connections.len()),
+        (0, 0, 1)
     );
-    assert_eq!((desk.gather.parts.len(), desk.gather.retrievals.len(), desk.peers.len()), (0, 0, 1));
 }
 
 #[test]
@@ -674,7 +701,7 @@
     let id = if port == 71 { "a" } else { "b" };
     let list = serde_json::json!({"revision": 42, "complete": true, "members": [
         {"id": id, "host_port": "127.0.0.1:73", "cell": 0, "phase": "ready"}]});
-    bench.router.list(&list, EndpointUpdate::Full);
+    bench.update(&list, EndpointUpdate::Full);
     bench.effects();
     // What is out may still be answered; what is new goes to the new address.
     bench.answer(link, "t1.0 OK 5 -", "alpha");
@@ -702,14 +729,14 @@
 #[test]
 fn probes_are_told_back_with_their_load_and_time_out() {
     let mut bench = Bench::new();
-    bench.router.desk.send_probe(0);
+    bench.router.state.check_health(NodeId(0));
     bench.effects();
     let (link, _) = bench.up();
     assert_eq!(bench.written[&link], frames::head(b'G', 0));
     bench.tell(Event::Received(link, &[0, 0, 0, 3, b'G', b'O', b'K']));
-    bench.router.desk.send_probe(0);
+    bench.router.state.check_health(NodeId(0));
     bench.effects();
-    assert!(bench.router.desk.counters.health_checks_sent == 2 && !bench.closed.contains(&link));
+    assert!(bench.router.counters().health_checks_sent == 2 && !bench.closed.contains(&link));
     bench.pass(300_000);
     assert!(bench.closed.contains(&link));
 }
@@ -737,10 +764,10 @@
     assert!(!bench.said(first).contains("t2.0"));
     bench.pass(10_000);
     assert!(bench.said(first).contains("t2.0"), "{}", bench.said(first));
-    assert_eq!(bench.router.desk.counters.batches_reassigned, 1);
+    assert_eq!(bench.router.counters().batches_reassigned, 1);
     // The one that comes up late carries nothing, and that its node could not be reached is not said.
     bench.pass(250_000);
-    assert_eq!((bench.said(second), bench.router.desk.counters.attempts_connect_failed), (String::new(), 0));
+    assert_eq!((bench.said(second), bench.router.counters().attempts_connect_failed), (String::new(), 0));
     bench.answer(first, "t2.0 OK 5 -", "two");
     bench.pass(5_000);
     let said = [bench.said(client), bench.said(other)];
--- a/crates/query-router/src/serve.rs
+++ b/crates/query-router/src/serve.rs
@@ -4,9 +4,9 @@
 mod tests;
 
 use crate::config::Config;
-use crate::io::{ConnectionId, Effect, Event, Piece};
+use crate::io::{Bytes, ConnectionId, Effect, Event};
 use crate::protocol::http::{MAX_BODY_BYTES, MAX_REQUEST_BYTES};
-use crate::reducer::Router;
+use crate::router::Router;
 use balancer::Micros;
 use calloop::generic::Generic;
 use calloop::signals::{Signal, Signals};
@@ -53,7 +53,7 @@
     /// Reading stopped because the buffer was full.
     full: bool,
     input: Vec<u8>,
-    output: VecDeque<Piece>,
+    output: VecDeque<Bytes>,
     /// How much of the first piece is written, and how much of all.
     offset: usize,
     written: u64,
@@ -114,7 +114,7 @@
         events.dispatch(wait, &mut server).map_err(|e| format!("event loop: {e}"))?;
         server.turn();
     }
-    print(&server.router.desk.counters.lines());
+    print(&server.router.counters().lines());
     Ok(())
 }
 
@@ -210,7 +210,7 @@
         // Guards against a client that connected since the listener was last looked at: the end would reset it.
         if std::mem::take(&mut self.ending) {
             self.accept();
-            self.done = self.router.may_end();
+            self.done = self.router.may_exit();
         }
         if !self.listens && self.arrived.is_empty() && self.clock.now() >= self.accepts_at {
             self.listens = self.handle.enable(&self.listening).is_ok();
@@ -232,7 +232,7 @@
     }
 
     fn settle(&mut self) {
-        self.router.settle(self.clock.now());
+        self.router.decide(self.clock.now());
         self.carry_out();
     }
 
@@ -269,7 +269,7 @@
     /// Carries out what the reducer asked, and what came of that, until nothing is left.
     fn carry_out(&mut self) {
         loop {
-            for effect in std::mem::take(&mut self.router.desk.effects) {
+            for effect in self.router.take_effects() {
                 self.effect(effect);
             }
             let now = self.clock.now();
--- a/crates/query-router/src/serve/tests.rs
+++ b/crates/query-router/src/serve/tests.rs
@@ -172,6 +172,6 @@
         // It was closed over what it had not read: a reset is an end too.
         let _ = first.read_to_end(&mut rest);
         assert_eq!(rest, b"");
-        assert_eq!(rig.server.router.desk.counters.attempts_not_sent, 1);
+        assert_eq!(rig.server.router.counters().attempts_not_sent, 1);
     }
 }
