--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -1,61 +1,68 @@
-//! What the loop tells the reducer and what the reducer asks of the loop. Both are plain values.
+//! What the event loop reports to the router's state machine and what the state machine asks of the event loop. Both
+//! are plain values.
 
 use balancer::Micros;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The index of a connection; the reducer hands it out and may use it again once it was closed.
+/// The index of a connection: the state machine hands it out and may use it again once the connection was closed.
 pub type ConnectionId = usize;
 /// Bytes to be written, shared where several connections get the same.
 pub type Bytes = Rc<[u8]>;
 
+/// What the event loop reports.
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// A client has connected; `Effect::Adopt` answers it, later if there is no room.
-    Arrived,
-    /// A connection asked for is up.
-    Up(ConnectionId),
-    /// All bytes that came in on a connection and were not taken yet.
+    /// A client has connected; [`Effect::Accept`] answers it, later if the limit on descriptors is reached.
+    ClientConnected,
+    /// A connection that was asked for is established.
+    Established(ConnectionId),
+    /// All bytes that were received on a connection and are not consumed yet.
     Received(ConnectionId, &'a [u8]),
-    /// All that was to be written has been.
+    /// Everything that was to be written has been.
     Flushed(ConnectionId),
-    /// The other side closed in order; `Ended` follows.
-    Closed(ConnectionId),
-    /// The other side closed, it broke, or it never came up; so many bytes had been written by then.
+    /// The peer closed in order; [`Event::Ended`] follows.
+    PeerClosed(ConnectionId),
+    /// The peer closed, the connection broke, or it was never established; so many bytes had been written by then.
     Ended(ConnectionId, u64),
-    /// Time has passed.
-    Alarm,
-    /// The configuration was replaced: discovery stands at this address now.
-    Discovery(SocketAddr),
-    /// The process is to stop.
+    /// The time of [`Effect::WakeAt`] has come.
+    TimerExpired,
+    /// The configuration was replaced: discovery has this address now.
+    DiscoveryMoved(SocketAddr),
+    /// The process is to end.
     Terminate,
-    /// The counters are wanted.
-    Report,
+    /// The counters are to be printed.
+    ReportCounters,
 }
 
+/// What the event loop is asked to do.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// The client that arrived first is this connection from now on.
-    Adopt(ConnectionId),
+    /// The client that connected first has this id from now on.
+    Accept(ConnectionId),
+    /// Connect to this address.
     Connect(ConnectionId, SocketAddr),
-    /// So many of the received bytes are done with.
-    Taken(ConnectionId, usize),
-    /// Tell once more what has been received and not taken.
-    Read(ConnectionId),
+    /// Discard so many of the received bytes.
+    Consume(ConnectionId, usize),
+    /// Report once more what was received and not consumed.
+    Redeliver(ConnectionId),
+    /// Write these buffers.
     Write(ConnectionId, Vec<Bytes>),
-    /// The same, but nothing is written if the other side is known to have closed, or to have said something though
-    /// nothing was `due` from it: `Event::Ended` follows.
-    Send(ConnectionId, Vec<Bytes>, bool),
-    /// Closed here if nothing has come in that is not read yet, and `Event::Ended` says so.
-    Part(ConnectionId),
-    /// No more is written, what comes is still read.
-    Finish(ConnectionId),
-    /// Closed here and forgotten.
+    /// Write these buffers, unless the peer is known to have closed, or to have sent something though no response was
+    /// due (the last value): then close, and [`Event::Ended`] follows.
+    WriteIfOpen(ConnectionId, Vec<Bytes>, bool),
+    /// Close unless something has come in that is not read yet; [`Event::Ended`] follows the close.
+    CloseIfIdle(ConnectionId),
+    /// Write no more; what comes in is still read.
+    CloseWrite(ConnectionId),
+    /// Close and forget.
     Close(ConnectionId),
-    /// Closed here; `Event::Ended` then says how much had been written.
-    Break(ConnectionId),
-    /// Wake the reducer at this time, in place of the time before.
-    Timer(Option<Micros>),
-    Report(String),
+    /// Close; [`Event::Ended`] then says how much had been written.
+    Abort(ConnectionId),
+    /// Report [`Event::TimerExpired`] at this time, in place of the time before.
+    WakeAt(Option<Micros>),
+    /// Print these lines.
+    PrintCounters(String),
+    /// End the process.
     Exit,
 }
--- a/crates/query-router/src/router/clients.rs
+++ b/crates/query-router/src/router/clients.rs
@@ -81,7 +81,7 @@
             let client = ClientConnection::new(context.now);
             let Some(id) = context.open(Connection::Client(client)) else { return };
             self.pending_accepts -= 1;
-            context.effects.push(Effect::Adopt(id));
+            context.effects.push(Effect::Accept(id));
             let timeout = if context.shutdown.closes_idle() { LINGER } else { FIRST_REQUEST_TIMEOUT };
             context.set_connection_timer(id, Some(context.now + timeout));
             evict_surplus_idle(context);
@@ -283,7 +283,7 @@
         // the request is consumed before the connection is closed.
         let timer = context.shutdown.closes_idle().then_some(now);
         context.set_connection_timer(id, timer);
-        context.effects.push(Effect::Read(id));
+        context.effects.push(Effect::Redeliver(id));
         evict_surplus_idle(context);
     }
 
@@ -353,14 +353,14 @@
     fn consume(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
         let left = context.connections.client(id).unconsumed.saturating_sub(count);
         self.set_unconsumed(context, id, left);
-        context.effects.push(Effect::Taken(id, count));
+        context.effects.push(Effect::Consume(id, count));
     }
 }
 
 /// Closes a connection between requests so that one which crosses the close meets no reset: its client asks again.
 fn half_close(context: &mut Context, id: ConnectionId) {
     context.connections.client(id).state = ClientState::HalfClosed;
-    context.effects.push(Effect::Finish(id));
+    context.effects.push(Effect::CloseWrite(id));
     context.set_connection_timer(id, Some(context.now + LINGER));
 }
 
--- a/crates/query-router/src/router/context.rs
+++ b/crates/query-router/src/router/context.rs
@@ -120,7 +120,7 @@
     pub fn evict_client(&mut self, id: ConnectionId) {
         self.counters.client_connections_evicted += 1;
         self.connections.client(id).state = ClientState::ClosingIfIdle;
-        self.effects.push(Effect::Part(id));
+        self.effects.push(Effect::CloseIfIdle(id));
     }
 
     /// Closes a node connection that has nothing to do.
--- a/crates/query-router/src/router/discovery.rs
+++ b/crates/query-router/src/router/discovery.rs
@@ -238,7 +238,7 @@
     pub fn finish_reading(
         &self, context: &mut Context, id: ConnectionId, consumed: usize, progress: BodyProgress,
     ) {
-        context.effects.push(Effect::Taken(id, consumed));
+        context.effects.push(Effect::Consume(id, consumed));
         let now = context.now;
         let no_progress_since = context.connections.discovery(id).note_progress(now, progress);
         context.set_connection_timer(id, Some(no_progress_since + SILENCE_TIMEOUT));
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -125,7 +125,7 @@
         );
         match cancelled {
             Cancelled::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
-            Cancelled::PartlyWritten => context.effects.push(Effect::Break(connection)),
+            Cancelled::PartlyWritten => context.effects.push(Effect::Abort(connection)),
             Cancelled::Sent => {
                 self.node_connections.write(context, queries, connection);
                 self.node_connections.close_or_keep_idle(context, connection);
@@ -156,7 +156,7 @@
             if let Establishment::Established { since } = connection.establishment
                 && since < endpoint.started_at
             {
-                context.effects.push(Effect::Break(id));
+                context.effects.push(Effect::Abort(id));
                 continue;
             }
             if endpoint.ready && endpoint.address == Some(connection.address) {
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -93,18 +93,18 @@
     pub fn step(&mut self, now: Micros, event: Event) {
         self.state.context.now = now;
         match event {
-            Event::Arrived => self.state.clients.connected(&mut self.state.context),
-            Event::Up(id) => self.established(id),
+            Event::ClientConnected => self.state.clients.connected(&mut self.state.context),
+            Event::Established(id) => self.established(id),
             Event::Received(id, bytes) => self.received(id, bytes),
             Event::Flushed(id) => self.flushed(id),
-            Event::Closed(id) => self.closed_by_peer(id),
+            Event::PeerClosed(id) => self.closed_by_peer(id),
             Event::Ended(id, bytes_written) => self.ended(id, bytes_written),
-            Event::Alarm => self.expire_timers(),
-            Event::Discovery(address) => self.state.discovery.move_to(&mut self.state.context, address),
+            Event::TimerExpired => self.expire_timers(),
+            Event::DiscoveryMoved(address) => self.state.discovery.move_to(&mut self.state.context, address),
             Event::Terminate => self.begin_shutdown(),
-            Event::Report => {
+            Event::ReportCounters => {
                 let lines = self.counters().lines();
-                self.state.context.effects.push(Effect::Report(lines));
+                self.state.context.effects.push(Effect::PrintCounters(lines));
             }
         }
         self.update_wake();
@@ -152,7 +152,7 @@
         let decision_at = decision_due.then_some(self.last_decision_at + context.limits.decision_interval);
         let next = context.timers.next_at().into_iter().chain(decision_at).min();
         if std::mem::replace(&mut self.wake_at, next) != next {
-            context.effects.push(Effect::Timer(next));
+            context.effects.push(Effect::WakeAt(next));
         }
     }
 
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -171,7 +171,7 @@
         while let Some(frame) = context.connections.node(id).queue.pop_front() {
             self.encode(context, queries, id, frame, &mut buffers);
         }
-        context.effects.push(Effect::Send(id, buffers, response_due));
+        context.effects.push(Effect::WriteIfOpen(id, buffers, response_due));
         set_timer(context, id);
     }
 
@@ -245,7 +245,7 @@
         &self, context: &mut Context, id: ConnectionId,
     ) -> Option<NodeReport<'static>> {
         let report = finish_health_check(context, id, AttemptOutcome::TimedOut, Vec::new());
-        context.effects.push(Effect::Break(id));
+        context.effects.push(Effect::Abort(id));
         report
     }
 
@@ -435,7 +435,7 @@
             note_malformed_frame(context, id, "its frame could not be used");
         }
     }
-    context.effects.push(Effect::Break(id));
+    context.effects.push(Effect::Abort(id));
 }
 
 /// Counts a frame that a data node or this router could not read; logged once for each node.
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -64,7 +64,7 @@
         if consumed > 0 {
             connection.last_frame_at = now;
         }
-        context.effects.push(Effect::Taken(id, consumed));
+        context.effects.push(Effect::Consume(id, consumed));
         self.close_or_keep_idle(context, id);
     }
 }
@@ -79,7 +79,7 @@
             // The node is about to close the connection: what is not sent yet goes elsewhere.
             note_malformed_frame(context, id, &String::from_utf8_lossy(content));
             context.connections.node(id).reusable = false;
-            context.effects.push(Effect::Break(id));
+            context.effects.push(Effect::Abort(id));
             Received::Handled
         }
         _ => Received::Malformed,
--- a/crates/query-router/src/router/tests/disorder.rs
+++ b/crates/query-router/src/router/tests/disorder.rs
@@ -103,7 +103,7 @@
 
     fn effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Adopt(conn) => {
+            Effect::Accept(conn) => {
                 self.answers.remove(&conn);
                 assert!(self.ends.insert(conn, RemoteEnd { up: true, ..RemoteEnd::default() }).is_none());
             }
@@ -111,13 +111,13 @@
                 let end = RemoteEnd { port: Some(to.port()), ..RemoteEnd::default() };
                 assert!(self.ends.insert(conn, end).is_none());
             }
-            Effect::Taken(conn, count) => {
+            Effect::Consume(conn, count) => {
                 if let Some(end) = self.ends.get_mut(&conn) {
                     end.said.drain(..count);
                 }
             }
-            Effect::Read(conn) => self.after.push(After::Read(conn)),
-            Effect::Write(conn, pieces) | Effect::Send(conn, pieces, _) => {
+            Effect::Redeliver(conn) => self.after.push(After::Read(conn)),
+            Effect::Write(conn, pieces) | Effect::WriteIfOpen(conn, pieces, _) => {
                 let bytes: Vec<u8> = pieces.iter().flat_map(|piece| piece.to_vec()).collect();
                 let slow = self.rng.u8(0..8) == 0;
                 if let Some(end) = self.ends.get_mut(&conn) {
@@ -128,12 +128,12 @@
                     }
                 }
             }
-            Effect::Part(conn) => {
+            Effect::CloseIfIdle(conn) => {
                 if self.ends.get(&conn).is_some_and(|end| end.said.is_empty()) {
                     self.fail(conn);
                 }
             }
-            Effect::Break(conn) => self.fail(conn),
+            Effect::Abort(conn) => self.fail(conn),
             Effect::Close(conn) => {
                 self.ends.remove(&conn);
                 self.after.retain(|after| {
@@ -142,7 +142,7 @@
                 });
             }
             Effect::Exit => self.exit = true,
-            Effect::Finish(_) | Effect::Timer(_) | Effect::Report(_) => {}
+            Effect::CloseWrite(_) | Effect::WakeAt(_) | Effect::PrintCounters(_) => {}
         }
     }
 
@@ -291,7 +291,7 @@
         let end = self.now + span;
         while let Some(at) = self.router.wake_at.filter(|&at| at <= end) {
             self.now = self.now.max(at);
-            self.tell(Event::Alarm);
+            self.tell(Event::TimerExpired);
             self.settle();
         }
         self.now = end;
@@ -301,7 +301,7 @@
         let node = |end: &RemoteEnd| end.port.is_some_and(|port| port != 9);
         let client = |end: &RemoteEnd| end.port.is_none();
         match self.rng.u8(0..40) {
-            0..=3 => self.tell(Event::Arrived),
+            0..=3 => self.tell(Event::ClientConnected),
             4..=11 => {
                 let request = self.request();
                 if let Some(conn) = self.one(client) {
@@ -317,7 +317,7 @@
             14..=18 => {
                 if let Some(conn) = self.one(|end| !end.up) {
                     self.ends.get_mut(&conn).expect("an end").up = true;
-                    self.tell(Event::Up(conn));
+                    self.tell(Event::Established(conn));
                 }
             }
             19..=25 => {
@@ -343,7 +343,7 @@
             }
             30 => {
                 if let Some(conn) = self.one(|end| end.port == Some(9)) {
-                    self.tell(Event::Closed(conn));
+                    self.tell(Event::PeerClosed(conn));
                     self.fail(conn);
                     self.carry_out();
                 }
@@ -356,7 +356,7 @@
             }
             33 => {
                 let to = if self.rng.bool() { "127.0.0.1:9" } else { "127.0.0.2:9" };
-                self.tell(Event::Discovery(to.parse().expect("an address")));
+                self.tell(Event::DiscoveryMoved(to.parse().expect("an address")));
             }
             34..=36 => self.settle(),
             _ => {
--- a/crates/query-router/src/router/tests/lists.rs
+++ b/crates/query-router/src/router/tests/lists.rs
@@ -16,7 +16,7 @@
     for at in 0..text.len() {
         let mut bench = Bench::new();
         let watch = bench.links[0].0;
-        bench.tell(Event::Up(watch));
+        bench.tell(Event::Established(watch));
         assert!(bench.said(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
         // Bytes that were not taken are told again.
         let mut left = Vec::new();
@@ -24,7 +24,7 @@
             left.extend_from_slice(piece);
             bench.router.step(START, Event::Received(watch, &left));
             for effect in bench.router.take_effects() {
-                if let Effect::Taken(_, count) = effect {
+                if let Effect::Consume(_, count) = effect {
                     left.drain(..count);
                 }
             }
@@ -51,7 +51,7 @@
 fn bytes_that_make_no_line_and_no_object_do_not_keep_a_watch() {
     let mut bench = Bench::new();
     let watch = bench.links[0].0;
-    bench.tell(Event::Up(watch));
+    bench.tell(Event::Established(watch));
     let mut head = b"HTTP/1.1 200 OK\r\nX-Slow: ".to_vec();
     for second in 0..4 {
         assert_eq!(bench.links[0].0, watch, "after {second} s");
@@ -84,7 +84,7 @@
     bench.tell(Event::Ended(list, 0));
     bench.pass(250_000);
     let again = bench.links[0].0;
-    bench.tell(Event::Up(again));
+    bench.tell(Event::Established(again));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     bench.tell(Event::Received(again, head.as_bytes()));
     let calls = bench.router.counters().discovery_requests;
@@ -110,7 +110,7 @@
     }
     // One that is well begins them anew.
     let watch = bench.links[0].0;
-    bench.tell(Event::Up(watch));
+    bench.tell(Event::Established(watch));
     bench.tell(Event::Received(watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
     bench.tell(Event::Ended(watch, 0));
     bench.pass(125_000);
@@ -140,10 +140,10 @@
     {
         let mut bench = Bench::new();
         let call = bench.poll().expect("a socket");
-        bench.tell(Event::Up(call));
+        bench.tell(Event::Established(call));
         bench.tell(Event::Received(call, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes()));
         if closed {
-            bench.tell(Event::Closed(call));
+            bench.tell(Event::PeerClosed(call));
         }
         bench.tell(Event::Ended(call, 0));
         let counters = bench.router.counters();
@@ -173,7 +173,7 @@
         left.extend_from_slice(piece);
         bench.router.step(START, Event::Received(call, &left));
         for effect in bench.router.take_effects() {
-            if let Effect::Taken(_, count) = effect {
+            if let Effect::Consume(_, count) = effect {
                 left.drain(..count);
             }
         }
@@ -185,7 +185,7 @@
     let mut bench = Bench::new();
     let call = if watch { bench.links[0].0 } else { bench.poll().expect("a socket") };
     bench.effects();
-    bench.tell(Event::Up(call));
+    bench.tell(Event::Established(call));
     tell_in_pieces(&mut bench, call, bytes, piece);
     bench.router.state.context.endpoints.records().iter().filter(|place| place.ready).count()
 }
@@ -266,7 +266,7 @@
         let mut bench = Bench::new();
         let call = if watch { bench.links[0].0 } else { bench.poll().expect("a socket") };
         bench.effects();
-        bench.tell(Event::Up(call));
+        bench.tell(Event::Established(call));
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         bench.tell(Event::Received(call, text.as_bytes()));
         let counters = bench.router.counters();
@@ -288,7 +288,7 @@
     // A length that no list has is not believed, however little comes.
     let mut bench = Bench::new();
     let call = bench.links[0].0;
-    bench.tell(Event::Up(call));
+    bench.tell(Event::Established(call));
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{", usize::MAX);
     bench.tell(Event::Received(call, text.as_bytes()));
     assert_eq!(bench.router.counters().endpoint_lists_invalid, 1);
@@ -306,7 +306,7 @@
 fn a_watch_whose_object_was_cut_off_is_broken_though_lines_go_on() {
     let mut bench = Bench::new();
     let call = bench.links[0].0;
-    bench.tell(Event::Up(call));
+    bench.tell(Event::Established(call));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     bench.tell(Event::Received(call, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes()));
     for _ in 0..3 {
@@ -327,16 +327,16 @@
     bench.poll();
     bench.effects();
     let list = bench.links.last().expect("a call").0;
-    bench.tell(Event::Discovery("127.0.0.1:9".parse().expect("an address")));
+    bench.tell(Event::DiscoveryMoved("127.0.0.1:9".parse().expect("an address")));
     assert!(bench.closed.is_empty(), "the same address changes nothing");
     for port in [10, 11] {
-        bench.tell(Event::Discovery(SocketAddr::from(([127, 0, 0, 1], port))));
+        bench.tell(Event::DiscoveryMoved(SocketAddr::from(([127, 0, 0, 1], port))));
     }
     assert!(bench.closed.contains(&old) && bench.closed.contains(&list));
     let calls: Vec<ConnectionId> =
         bench.links.iter().filter(|link| link.1 == 11).map(|link| link.0).collect();
     assert!(calls.len() == 2 && !bench.links.iter().any(|link| link.1 == 9 || link.1 == 10));
-    calls.iter().for_each(|&call| bench.tell(Event::Up(call)));
+    calls.iter().for_each(|&call| bench.tell(Event::Established(call)));
     // The new one's revisions are its own.
     assert!(calls.iter().any(|&call| bench.said(call).starts_with("GET /api/targets?watch=1&after=0 ")));
     bench.answer(link, "t1.0 OK 5 -", "alpha");
--- a/crates/query-router/src/router/tests/mod.rs
+++ b/crates/query-router/src/router/tests/mod.rs
@@ -82,9 +82,9 @@
         while !self.router.state.context.effects.is_empty() {
             for effect in self.router.take_effects() {
                 match effect {
-                    Effect::Adopt(conn) => self.adopted.push(conn),
+                    Effect::Accept(conn) => self.adopted.push(conn),
                     Effect::Connect(conn, to) => self.links.push((conn, to.port())),
-                    Effect::Write(conn, pieces) | Effect::Send(conn, pieces, _) => {
+                    Effect::Write(conn, pieces) | Effect::WriteIfOpen(conn, pieces, _) => {
                         let bytes = pieces.iter().flat_map(|piece: &Bytes| piece.to_vec());
                         let left = if self.slow { 12 } else { usize::MAX };
                         self.written.entry(conn).or_default().extend(bytes.take(left));
@@ -96,15 +96,18 @@
                         self.closed.push(conn);
                         self.links.retain(|link| link.0 != conn);
                     }
-                    Effect::Break(conn) => {
+                    Effect::Abort(conn) => {
                         let written = self.written.get(&conn).map_or(0, Vec::len) as u64;
                         self.router.step(self.now, Event::Ended(conn, written));
                     }
-                    Effect::Part(conn) if self.unread.contains(&conn) => {}
-                    Effect::Part(conn) => self.router.step(self.now, Event::Ended(conn, 0)),
-                    Effect::Finish(conn) => self.finished.push(conn),
+                    Effect::CloseIfIdle(conn) if self.unread.contains(&conn) => {}
+                    Effect::CloseIfIdle(conn) => self.router.step(self.now, Event::Ended(conn, 0)),
+                    Effect::CloseWrite(conn) => self.finished.push(conn),
                     Effect::Exit => self.exit = true,
-                    Effect::Taken(..) | Effect::Read(_) | Effect::Timer(_) | Effect::Report(_) => {}
+                    Effect::Consume(..)
+                    | Effect::Redeliver(_)
+                    | Effect::WakeAt(_)
+                    | Effect::PrintCounters(_) => {}
                 }
             }
         }
@@ -134,14 +137,14 @@
         let end = self.now + span;
         while let Some(at) = self.router.wake_at.filter(|&at| at <= end) {
             self.now = self.now.max(at);
-            self.tell(Event::Alarm);
+            self.tell(Event::TimerExpired);
             self.settle();
         }
         self.now = end;
     }
 
     fn client(&mut self) -> ConnectionId {
-        self.tell(Event::Arrived);
+        self.tell(Event::ClientConnected);
         *self.adopted.last().expect("a client")
     }
 
@@ -161,7 +164,7 @@
     /// The last link to a data node, come up.
     fn up(&mut self) -> (ConnectionId, u16) {
         let link = *self.links.iter().rfind(|link| link.1 != 9).expect("a link");
-        self.tell(Event::Up(link.0));
+        self.tell(Event::Established(link.0));
         link
     }
 
@@ -254,7 +257,7 @@
     bench.pass(1_600_000);
     assert!(bench.said(client).starts_with("HTTP/1.1 503"), "{}", bench.said(client));
     for (link, _) in bench.links.clone().into_iter().filter(|link| link.1 != 9) {
-        bench.tell(Event::Up(link));
+        bench.tell(Event::Established(link));
         bench.settle();
         assert_eq!(bench.said(link), "");
     }
@@ -268,7 +271,7 @@
     let link = bench.links.last().expect("a link").0;
     // Sockets are heard before alarms: the alarm is due in this turn too.
     bench.now += 1_500_000;
-    bench.tell(Event::Up(link));
+    bench.tell(Event::Established(link));
     assert_eq!((bench.said(link), bench.router.counters().attempts_not_sent), (String::new(), 2));
 }
 
@@ -280,7 +283,7 @@
     let link = bench.links.last().expect("a link").0;
     bench.pass(1_600_000);
     assert!(bench.said(client).starts_with("HTTP/1.1 503"), "{}", bench.said(client));
-    bench.tell(Event::Up(link));
+    bench.tell(Event::Established(link));
     assert_eq!(bench.said(link), "");
 }
 
@@ -443,7 +446,7 @@
         .map(|_| {
             let conn = bench.connection_for(0, &ids).expect("a socket");
             bench.effects();
-            bench.tell(Event::Up(conn));
+            bench.tell(Event::Established(conn));
             bench.router.state.context.connections.node(conn).queue_batch(Vec::new());
             conn
         })
@@ -550,14 +553,14 @@
     let mut bench = Bench::new();
     // Six connections are allowed; one is discovery's. A new one is about to have its request: it stays.
     let clients: Vec<ConnectionId> = (0..5).map(|_| bench.client()).collect();
-    bench.tell(Event::Arrived);
+    bench.tell(Event::ClientConnected);
     assert_eq!((bench.adopted.len(), bench.router.counters().client_connections_delayed), (5, 1));
     // One that has been answered and has nothing unread is parted with.
     bench.tell(Event::Received(clients[3], b"GET /-/ready HTTP/1.1\r\n\r\n"));
     bench.settle();
     assert_eq!((&bench.closed[..], bench.adopted.len()), (&[clients[3]][..], 6));
     // Nor does one stay for ever that never asks.
-    bench.tell(Event::Arrived);
+    bench.tell(Event::ClientConnected);
     bench.pass(2_100_000);
     assert_eq!(bench.adopted.len(), 7);
 }
@@ -568,7 +571,7 @@
     let clients: Vec<ConnectionId> = (0..5).map(|_| bench.client()).collect();
     bench.unread = vec![clients[1]];
     bench.tell(Event::Received(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n"));
-    bench.tell(Event::Arrived);
+    bench.tell(Event::ClientConnected);
     bench.tell(Event::Received(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n"));
     assert!(bench.closed.is_empty() && bench.said(clients[1]).matches("200 OK").count() == 2);
 }
@@ -641,7 +644,7 @@
     bench.settle();
     bench.settle();
     assert_eq!(bench.router.counters().attempts_not_sent, 2);
-    bench.tell(Event::Up(link));
+    bench.tell(Event::Established(link));
     let (other, other_port) = bench.up();
     assert!(other_port != port && bench.said(link).is_empty() && bench.said(other).contains("t1.0"));
     // Up before the process started: it is gone, and what was out on it may have run.
@@ -757,7 +760,7 @@
     };
     let ((client, first), (other, second)) = (ask("t1"), ask("t2"));
     assert_ne!(first, second);
-    bench.tell(Event::Up(first));
+    bench.tell(Event::Established(first));
     bench.answer(first, "t1.0 OK 5 -", "one");
     bench.settle();
     // Its node may close right behind an answer: it rests for a tick first.
--- a/crates/query-router/src/serve.rs
+++ b/crates/query-router/src/serve.rs
@@ -198,13 +198,13 @@
         }
         for signal in std::mem::take(&mut self.signals) {
             match signal {
-                Signal::SIGUSR1 => self.tell(Event::Report),
+                Signal::SIGUSR1 => self.tell(Event::ReportCounters),
                 Signal::SIGHUP => self.reload(),
                 _ => self.tell(Event::Terminate),
             }
         }
         if self.timer.is_some_and(|at| at <= self.clock.now()) {
-            self.tell(Event::Alarm);
+            self.tell(Event::TimerExpired);
         }
         self.settle();
         // Guards against a client that connected since the listener was last looked at: the end would reset it.
@@ -225,7 +225,7 @@
                 if !held.is_empty() {
                     tracing::warn!("heeded at the next start only: {}", held.join(", "));
                 }
-                self.tell(Event::Discovery(newer.discovery));
+                self.tell(Event::DiscoveryMoved(newer.discovery));
             }
             Err(why) => tracing::warn!("the configuration stays as it was: {why}"),
         }
@@ -249,7 +249,7 @@
                     if stream.set_nonblocking(true).is_ok() {
                         let _ = stream.set_nodelay(true);
                         self.arrived.push_back(stream);
-                        self.tell(Event::Arrived);
+                        self.tell(Event::ClientConnected);
                     }
                 }
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
@@ -291,7 +291,7 @@
 
     fn effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Adopt(conn) => {
+            Effect::Accept(conn) => {
                 if let Some(stream) = self.arrived.pop_front() {
                     self.register(conn, stream, true);
                 }
@@ -300,7 +300,7 @@
                 Ok(stream) => self.register(conn, stream, false),
                 Err(_) => self.after.push_back(After::Ended(conn, 0)),
             },
-            Effect::Taken(conn, count) => {
+            Effect::Consume(conn, count) => {
                 if let Some(Some(socket)) = self.sockets.get_mut(conn) {
                     socket.input.drain(..count);
                     if socket.input.is_empty() && socket.input.capacity() > KEPT_INPUT {
@@ -308,20 +308,20 @@
                     }
                 }
             }
-            Effect::Read(conn) => self.after.push_back(After::Read(conn)),
+            Effect::Redeliver(conn) => self.after.push_back(After::Read(conn)),
             Effect::Write(conn, pieces) => {
                 if let Some(Some(socket)) = self.sockets.get_mut(conn) {
                     socket.output.extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
                     self.write(conn);
                 }
             }
-            Effect::Send(conn, pieces, due) => {
+            Effect::WriteIfOpen(conn, pieces, due) => {
                 if self.unread(conn).is_some_and(|bytes| bytes == 0 || !due) {
                     return self.fail(conn);
                 }
                 self.effect(Effect::Write(conn, pieces));
             }
-            Effect::Finish(conn) => {
+            Effect::CloseWrite(conn) => {
                 if let Some(Some(socket)) = self.sockets.get(conn) {
                     let _ = socket.stream.shutdown(Shutdown::Write);
                 }
@@ -331,15 +331,15 @@
                 // The index may be used again: what was to be told of this connection is void.
                 self.after.retain(|after| after.conn() != conn);
             }
-            Effect::Part(conn) => {
+            Effect::CloseIfIdle(conn) => {
                 // What has come in, an end too, is met when the loop reads it.
                 if self.unread(conn).is_none() {
                     self.fail(conn);
                 }
             }
-            Effect::Break(conn) => self.fail(conn),
-            Effect::Timer(at) => self.timer = at,
-            Effect::Report(lines) => print(&lines),
+            Effect::Abort(conn) => self.fail(conn),
+            Effect::WakeAt(at) => self.timer = at,
+            Effect::PrintCounters(lines) => print(&lines),
             Effect::Exit => self.ending = true,
         }
     }
@@ -401,7 +401,7 @@
                 return;
             }
             socket.up = true;
-            self.tell(Event::Up(conn));
+            self.tell(Event::Established(conn));
         }
         if readiness.writable {
             self.write(conn);
@@ -426,7 +426,7 @@
             }
             match (&*socket.stream).read(&mut self.scratch) {
                 Ok(0) => {
-                    self.router.step(self.clock.now(), Event::Closed(conn));
+                    self.router.step(self.clock.now(), Event::PeerClosed(conn));
                     break;
                 }
                 Ok(count) => {
