--- a/crates/query-router/src/router/connection/discovery.rs
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -5,6 +5,9 @@
 use balancer::{EndpointUpdate, Micros};
 use serde_json::Value as Json;
 
+/// How often discovery sends at least a blank line on a watch.
+pub const HEARTBEAT_INTERVAL: Micros = 2_000_000;
+
 /// Why a response of discovery cannot be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum DiscoveryError {
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -45,6 +45,15 @@
     MalformedResponse(AttemptId),
 }
 
+/// What a health check asks for.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum HealthCheckKind {
+    /// Whether the node is well.
+    Health,
+    /// Its load, where load comes by health checks.
+    Load,
+}
+
 /// Something to be written to a data node.
 #[derive(Debug)]
 pub enum OutgoingFrame {
@@ -53,7 +62,7 @@
     /// The shard request with this id is cancelled.
     Cancellation(Rc<str>),
     /// A health check.
-    HealthCheck,
+    HealthCheck(HealthCheckKind),
 }
 
 /// An attempt that was handed to the event loop.
--- /dev/null
+++ b/crates/query-router/src/router/discovery/backoff.rs
@@ -0,0 +1,54 @@
+//! The delay between a watch that failed and the next one.
+
+use crate::config::Config;
+use crate::router::connection::discovery::HEARTBEAT_INTERVAL;
+use crate::router::context::Context;
+use crate::router::timers::Timer;
+use balancer::Micros;
+
+/// When a watch that failed is started again, where the router sees to that itself.
+pub struct WatchBackoff {
+    /// When the next watch starts.
+    retry_at: Option<Micros>,
+    /// The longest delay after the next failure.
+    delay: Micros,
+    /// The longest delay after a first failure. Later ones take twice as long and no more: what discovery has to say
+    /// when it is back is heard at once.
+    first_delay: Micros,
+    rng: fastrand::Rng,
+}
+
+impl WatchBackoff {
+    /// As the configuration says.
+    pub fn new(config: &Config) -> WatchBackoff {
+        // Where lists are pushed, the platform counts what it has as known at once, with or without a watch.
+        let first_delay = match config.micros("rules.drain_grace_us") / 4 {
+            0 => HEARTBEAT_INTERVAL,
+            delay => delay.min(HEARTBEAT_INTERVAL),
+        };
+        let rng = fastrand::Rng::with_seed(!config.seed);
+        WatchBackoff { retry_at: None, delay: first_delay, first_delay, rng }
+    }
+
+    /// Sets the time of the next watch after a failure. Guards against all routers whose watches end together keeping
+    /// a busy discovery from answering any.
+    pub fn schedule(&mut self, context: &mut Context) {
+        let at = context.now + self.delay / 2 + self.rng.i64(0..=self.delay / 2);
+        self.delay = (2 * self.first_delay).min(HEARTBEAT_INTERVAL);
+        self.cancel(context);
+        self.retry_at = Some(at);
+        context.timers.insert(at, Timer::StartWatch);
+    }
+
+    /// No watch is to be started any more.
+    pub fn cancel(&mut self, context: &mut Context) {
+        if let Some(at) = self.retry_at.take() {
+            context.timers.remove(at, Timer::StartWatch);
+        }
+    }
+
+    /// A watch is well: the next failure counts as the first.
+    pub fn reset(&mut self) {
+        self.delay = self.first_delay;
+    }
+}
--- a/crates/query-router/src/router/discovery.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -1,20 +1,21 @@
 //! Discovery: polls and watches of the endpoint list, when a watch is started again, and how an update is applied.
 
+mod backoff;
+
 use crate::config::{Config, numbered};
 use crate::io::{ConnectionId, Effect};
 use crate::router::connection::Connection;
 use crate::router::connection::discovery::{
-    BodyProgress, DiscoveryError, DiscoveryRequest, EndpointList, RequestKind, WatchMessage, parse_update,
+    BodyProgress, DiscoveryError, DiscoveryRequest, EndpointList, HEARTBEAT_INTERVAL, RequestKind,
+    WatchMessage, parse_update,
 };
 use crate::router::context::Context;
-use crate::router::timers::Timer;
+use backoff::WatchBackoff;
 use balancer::{Endpoint, EndpointUpdate, Micros};
 use serde_json::Value as Json;
 use settings_schema::names::EndpointEntry;
 use std::net::SocketAddr;
 
-/// How often discovery sends at least a blank line on a watch.
-const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 /// After how long without a message a request counts as silent.
 const SILENCE_TIMEOUT: Micros = 2 * HEARTBEAT_INTERVAL;
 
@@ -52,50 +53,6 @@
     unreported_failures: usize,
 }
 
-/// When a watch that failed is started again, where the router sees to that itself.
-struct WatchBackoff {
-    /// When the next watch starts.
-    retry_at: Option<Micros>,
-    /// The longest delay after the next failure.
-    delay: Micros,
-    /// The longest delay after a first failure. Later ones take twice as long and no more: what discovery has to say
-    /// when it is back is heard at once.
-    first_delay: Micros,
-    rng: fastrand::Rng,
-}
-
-impl WatchBackoff {
-    fn new(config: &Config) -> WatchBackoff {
-        // Where lists are pushed, the platform counts what it has as known at once, with or without a watch.
-        let first_delay = match config.micros("rules.drain_grace_us") / 4 {
-            0 => HEARTBEAT_INTERVAL,
-            delay => delay.min(HEARTBEAT_INTERVAL),
-        };
-        let rng = fastrand::Rng::with_seed(!config.seed);
-        WatchBackoff { retry_at: None, delay: first_delay, first_delay, rng }
-    }
-
-    /// Sets the time of the next watch after a failure. Guards against all routers whose watches end together keeping
-    /// a busy discovery from answering any.
-    fn schedule(&mut self, context: &mut Context) {
-        let at = context.now + self.delay / 2 + self.rng.i64(0..=self.delay / 2);
-        self.delay = (2 * self.first_delay).min(HEARTBEAT_INTERVAL);
-        self.cancel(context);
-        self.retry_at = Some(at);
-        context.timers.insert(at, Timer::StartWatch);
-    }
-
-    fn cancel(&mut self, context: &mut Context) {
-        if let Some(at) = self.retry_at.take() {
-            context.timers.remove(at, Timer::StartWatch);
-        }
-    }
-
-    fn reset(&mut self) {
-        self.delay = self.first_delay;
-    }
-}
-
 impl Discovery {
     /// As the configuration says.
     pub fn new(config: &Config) -> Discovery {
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -2,9 +2,9 @@
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
-use crate::router::connection::node::{Cancelled, Establishment};
+use crate::router::connection::node::{Cancelled, Establishment, HealthCheckKind};
 use crate::router::context::Context;
-use crate::router::node_connections::NodeConnections;
+use crate::router::node_connections;
 use crate::router::query_table::QueryTable;
 use balancer::{AttemptId, AttemptOutcome, Micros, NodeId, QueryId, ShardRequestId};
 
@@ -17,20 +17,24 @@
 
 /// The batches that no connection has taken yet.
 pub struct Dispatcher {
-    /// The connections to data nodes.
-    pub node_connections: NodeConnections,
     /// The batches of the current decision, and those for which no connection could be opened.
     waiting: Vec<Batch>,
     max_batch_size: usize,
+    health_check_kind: HealthCheckKind,
 }
 
 impl Dispatcher {
     /// As the configuration says.
     pub fn new(config: &Config) -> Dispatcher {
+        let load_by_health_checks = config.settings.text("load_report.transport") == "health_checks";
         Dispatcher {
-            node_connections: NodeConnections::new(config),
             waiting: Vec::new(),
             max_batch_size: config.whole("batch.max_shard_requests"),
+            health_check_kind: if load_by_health_checks {
+                HealthCheckKind::Load
+            } else {
+                HealthCheckKind::Health
+            },
         }
     }
 
@@ -53,14 +57,19 @@
         }
     }
 
+    /// Checks the health of a node.
+    pub fn check_health(&self, context: &mut Context, queries: &mut QueryTable, node: NodeId) {
+        node_connections::check_health(context, queries, node, self.health_check_kind);
+    }
+
     /// Puts the waiting batches on connections and writes them.
     pub fn send_batches(&mut self, context: &mut Context, queries: &mut QueryTable) {
-        let mut receivers = self.node_connections.reassign_batches(context, queries);
+        let mut receivers = node_connections::reassign_batches(context, queries);
         for batch in std::mem::take(&mut self.waiting) {
             receivers.extend(self.assign(context, queries, batch));
         }
         for connection in receivers {
-            self.node_connections.write(context, queries, connection);
+            node_connections::write(context, queries, connection);
         }
     }
 
@@ -76,9 +85,9 @@
             return None;
         }
         let ids = queries.ids(&batch.attempts);
-        let connection = self.node_connections.connection_for(context, queries, batch.node, &ids);
+        let connection = node_connections::connection_for(context, queries, batch.node, &ids);
         match connection {
-            Some(id) => self.node_connections.queue_batch(context, queries, id, batch.attempts),
+            Some(id) => node_connections::queue_batch(context, queries, id, batch.attempts),
             None => self.waiting.push(batch),
         }
         connection
@@ -127,8 +136,8 @@
             Cancelled::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
             Cancelled::PartlyWritten => context.effects.push(Effect::Abort(connection)),
             Cancelled::Sent => {
-                self.node_connections.write(context, queries, connection);
-                self.node_connections.close_or_keep_idle(context, connection);
+                node_connections::write(context, queries, connection);
+                node_connections::close_or_keep_idle(context, connection);
                 queries.finish_attempt_later(context, attempt, outcome);
             }
         }
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -2,8 +2,9 @@
 //! plain values and the time, and asks for effects; it touches no socket and no clock.
 //!
 //! This module routes events to the components and their results to the balancer; the components know neither the
-//! balancer nor each other, but for those below them: `context` (what all share), `query_table`, `node_connections`,
-//! `dispatch`, `clients`, `discovery`.
+//! balancer nor each other, but for those below them. From the bottom: `timers`, `shutdown`, `endpoints` and
+//! `connection` (states alone); `context` (what all share); `query_table`; `node_connections`; `dispatch`, `clients` and
+//! `discovery`; `state` (the components together, as the balancer acts on them).
 
 mod clients;
 mod connection;
@@ -14,37 +15,28 @@
 mod node_connections;
 mod query_table;
 mod shutdown;
+mod state;
 mod timers;
 
 #[cfg(test)]
 mod tests;
 
 use crate::config::Config;
-use crate::counters::{Counters, debug_invariant};
+use crate::counters::Counters;
 use crate::io::{ConnectionId, Effect, Event};
 use balancer::{
-    Actions, AttemptEnd, AttemptId, AttemptOutcome, Balancer, Completion, EndpointUpdate, Events,
-    HealthCheckEnd, LoadMetric, Micros, NodeId, QueryId, ShardRequestArrival, ShardRequestId,
+    AttemptEnd, AttemptOutcome, Balancer, EndpointUpdate, Events, HealthCheckEnd, LoadMetric, Micros, NodeId,
+    ShardRequestArrival,
 };
-use clients::{AcceptedQuery, Clients};
+use clients::AcceptedQuery;
 use connection::ConnectionKind;
 use connection::discovery::{BodyProgress, EndpointList};
-use context::Context;
-use discovery::{Discovery, RequestEnd};
-use dispatch::Dispatcher;
+use discovery::RequestEnd;
 use node_connections::NodeReport;
-use query_table::{FinishedAttempt, QueryTable};
+use query_table::FinishedAttempt;
+use state::State;
 use timers::Timer;
 
-/// All that the router holds but the balancer, which acts on it.
-struct State {
-    context: Context,
-    queries: QueryTable,
-    clients: Clients,
-    dispatcher: Dispatcher,
-    discovery: Discovery,
-}
-
 /// The router's state machine.
 pub struct Router {
     balancer: Balancer,
@@ -59,16 +51,9 @@
 impl Router {
     /// A router that starts now.
     pub fn new(config: &Config, now: Micros) -> Router {
-        let state = State {
-            context: Context::new(config, now),
-            queries: QueryTable::default(),
-            clients: Clients::new(config),
-            dispatcher: Dispatcher::new(config),
-            discovery: Discovery::new(config),
-        };
         let mut router = Router {
             balancer: Balancer::new(config.seed, config.settings.clone()),
-            state,
+            state: State::new(config, now),
             decision_due: true,
             last_decision_at: 0,
             wake_at: None,
@@ -157,9 +142,9 @@
     }
 
     fn established(&mut self, id: ConnectionId) {
-        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
+        let State { context, queries, discovery, .. } = &mut self.state;
         match context.connections.kind(id) {
-            Some(ConnectionKind::Node) => dispatcher.node_connections.established(context, queries, id),
+            Some(ConnectionKind::Node) => node_connections::established(context, queries, id),
             Some(ConnectionKind::Discovery) => discovery.established(context, id),
             Some(ConnectionKind::Client) | None => {}
         }
@@ -175,10 +160,10 @@
     }
 
     fn flushed(&mut self, id: ConnectionId) {
-        let State { context, queries, clients, dispatcher, .. } = &mut self.state;
+        let State { context, queries, clients, .. } = &mut self.state;
         match context.connections.kind(id) {
             Some(ConnectionKind::Client) => clients.answer_written(context, id),
-            Some(ConnectionKind::Node) => dispatcher.node_connections.flushed(context, queries, id),
+            Some(ConnectionKind::Node) => node_connections::flushed(context, queries, id),
             Some(ConnectionKind::Discovery) | None => {}
         }
     }
@@ -191,11 +176,11 @@
     }
 
     fn ended(&mut self, id: ConnectionId, bytes_written: u64) {
-        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
+        let State { context, queries, discovery, .. } = &mut self.state;
         match context.connections.kind(id) {
             Some(ConnectionKind::Client) => self.client_ended(id),
             Some(ConnectionKind::Node) => {
-                let reports = dispatcher.node_connections.ended(context, queries, id, bytes_written);
+                let reports = node_connections::ended(context, queries, id, bytes_written);
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
@@ -224,7 +209,7 @@
                 dispatcher.cancel(context, queries, attempt, AttemptOutcome::TimedOut);
             }
             Timer::HealthCheckTimeout(id) => {
-                let report = dispatcher.node_connections.health_check_timed_out(context, id);
+                let report = node_connections::health_check_timed_out(context, id);
                 self.report_all(report);
             }
             Timer::StartWatch => discovery.start_watch(context),
@@ -235,12 +220,12 @@
     }
 
     fn connection_timer_expired(&mut self, id: ConnectionId) {
-        let State { context, queries, clients, dispatcher, discovery } = &mut self.state;
+        let State { context, queries, clients, discovery, .. } = &mut self.state;
         context.connections.set_timer_at(id, None);
         match context.connections.kind(id) {
             Some(ConnectionKind::Client) => clients.timer_expired(context, id),
             Some(ConnectionKind::Node) => {
-                let reports = dispatcher.node_connections.timer_expired(context, queries, id);
+                let reports = node_connections::timer_expired(context, queries, id);
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
@@ -296,8 +281,8 @@
     fn node_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let mut offset = 0;
         loop {
-            let State { context, queries, dispatcher, .. } = &mut self.state;
-            let report = dispatcher.node_connections.next_report(context, queries, id, bytes, &mut offset);
+            let State { context, queries, .. } = &mut self.state;
+            let report = node_connections::next_report(context, queries, id, bytes, &mut offset);
             let Some(report) = report else { return };
             self.report(report);
         }
@@ -401,62 +386,3 @@
         self.decision_due = true;
     }
 }
-
-impl Actions for State {
-    fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>) {
-        self.dispatcher.add_attempt(&mut self.context, &mut self.queries, shard_request, node, timeout);
-    }
-
-    fn cancel_attempt(&mut self, attempt: AttemptId) {
-        self.dispatcher.cancel(&mut self.context, &mut self.queries, attempt, AttemptOutcome::Cancelled);
-    }
-
-    fn complete_query(&mut self, query: QueryId, completion: Completion) {
-        let State { context, queries, clients, dispatcher, .. } = self;
-        let client = queries.end_query(query);
-        debug_invariant!(context.counters, client.is_some(), "one final answer");
-        dispatcher.cancel_unsent(context, queries, query);
-        if let Some(id) = client {
-            clients.answer(context, queries, id, query, completion);
-        }
-    }
-
-    fn release_query(&mut self, query: QueryId) {
-        self.queries.release_query(query);
-    }
-
-    fn release_node(&mut self, node: NodeId) {
-        self.context.endpoints.release(node);
-        self.context.close_idle_nodes(node);
-        self.context.endpoints.free_if_unused(node);
-    }
-
-    fn set_timer(&mut self, delay: Micros, token: u64) {
-        self.context.timers.insert(self.context.now + delay, Timer::Balancer(token));
-    }
-
-    fn check_health(&mut self, node: NodeId) {
-        let State { context, queries, dispatcher, .. } = self;
-        dispatcher.node_connections.check_health(context, queries, node);
-    }
-
-    fn close_idle_connections(&mut self, node: NodeId) {
-        self.context.close_idle_nodes(node);
-    }
-
-    fn watch_endpoints(&mut self, enabled: bool) {
-        if enabled {
-            self.discovery.start_watch(&mut self.context);
-        } else {
-            self.discovery.stop_watch(&mut self.context);
-        }
-    }
-
-    fn poll_endpoints(&mut self) {
-        self.discovery.poll(&mut self.context);
-    }
-
-    fn log(&mut self, line: &str) {
-        tracing::info!("{line}");
-    }
-}
--- /dev/null
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -0,0 +1,151 @@
+//! How node connections are opened, kept while idle, and closed, and what their end means.
+
+use crate::io::{ConnectionId, Effect};
+use crate::router::connection::Connection;
+use crate::router::connection::node::{CloseCause, Establishment, NodeConnection};
+use crate::router::context::Context;
+use crate::router::query_table::{FinishedAttempt, QueryTable};
+use crate::router::timers::Timer;
+use balancer::{AttemptId, AttemptOutcome, LoadMetric, Micros, NodeId};
+
+/// What an event on a node connection tells the balancer.
+#[derive(Debug)]
+pub enum NodeReport<'a> {
+    /// An attempt has ended.
+    Attempt(FinishedAttempt, Vec<LoadMetric<'a>>),
+    /// A health check has ended.
+    HealthCheck(FinishedHealthCheck, Vec<LoadMetric<'a>>),
+}
+
+/// A health check that has ended.
+#[derive(Clone, Copy, Debug)]
+pub struct FinishedHealthCheck {
+    /// The node that was checked.
+    pub node: NodeId,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// The time since it was sent.
+    pub latency: Micros,
+}
+
+/// Opens a connection to a node, if its address is known and the limit on descriptors allows one.
+pub fn open(context: &mut Context, node: NodeId) -> Option<ConnectionId> {
+    let address = context.endpoints[node].address?;
+    let connection = NodeConnection::new(node, address, context.now);
+    let id = context.open(Connection::Node(Box::new(connection)))?;
+    context.counters.node_connections_opened += 1;
+    context.endpoints[node].connections.push(id);
+    context.effects.push(Effect::Connect(id, address));
+    set_timer(context, id);
+    Some(id)
+}
+
+/// Sets the timer by which a connection must be established, complete the frame that has begun, or is closed as idle.
+pub fn set_timer(context: &mut Context, id: ConnectionId) {
+    let (connect_timeout, idle_timeout) = (context.limits.connect_timeout, context.limits.idle_timeout);
+    let connection = context.connections.node(id);
+    let at = match (connection.establishment, connection.partial_frame) {
+        (Establishment::Connecting { since }, _) => Some(since + connect_timeout),
+        (_, Some(partial)) => Some(partial.since + connect_timeout),
+        (_, None) => connection.idle_since().map(|since| since + idle_timeout),
+    };
+    context.set_connection_timer(id, at);
+}
+
+/// Keeps a connection with nothing to do until its idle timeout; closes one that cannot be reused at once.
+pub fn close_or_keep_idle(context: &mut Context, id: ConnectionId) {
+    let now = context.now;
+    let connection = context.connections.node(id);
+    if connection.idle_since().is_some() {
+        if !connection.reusable {
+            return context.close_idle_node(id);
+        }
+        connection.idle_from = now;
+    }
+    set_timer(context, id);
+}
+
+/// A connection has ended with so many bytes written. What was not written in full was not executed; of the rest
+/// nothing is known.
+pub fn ended(
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes_written: u64,
+) -> Vec<NodeReport<'static>> {
+    let connection = context.connections.node(id);
+    let was_established = connection.is_established();
+    let cause = connection.close_cause;
+    let queued: Vec<AttemptId> = connection.queued_attempts().collect();
+    let in_flight = std::mem::take(&mut connection.in_flight);
+    // One that was established and ends before a frame is written says nothing of whether its node can be
+    // reached.
+    let (not_written, check_outcome) = if was_established {
+        (AttemptOutcome::NotSent, AttemptOutcome::ConnectionLost)
+    } else {
+        context.counters.node_connections_failed += 1;
+        (AttemptOutcome::ConnectFailed, AttemptOutcome::ConnectFailed)
+    };
+    let mut reports = Vec::new();
+    while let Some(report) = finish_health_check(context, id, check_outcome, Vec::new()) {
+        reports.push(report);
+    }
+    let sent = in_flight.into_iter().map(|sent| {
+        let written = sent.end_offset <= bytes_written;
+        (sent.attempt, if written { outcome_of_written(cause, sent.attempt) } else { not_written })
+    });
+    let queued = queued.into_iter().map(|attempt| (attempt, not_written));
+    for (attempt, outcome) in sent.chain(queued) {
+        let finished = queries.finish_attempt(context, attempt, outcome);
+        reports.extend(finished.map(|finished| NodeReport::Attempt(finished, Vec::new())));
+    }
+    context.close_node(id);
+    reports
+}
+
+/// The outcome of an attempt that was written in full on a connection that ends without a response to it.
+fn outcome_of_written(cause: CloseCause, attempt: AttemptId) -> AttemptOutcome {
+    match cause {
+        CloseCause::Remote => AttemptOutcome::ConnectionLost,
+        CloseCause::MalformedResponse(malformed) if malformed == attempt => AttemptOutcome::MalformedResponse,
+        CloseCause::Local | CloseCause::MalformedResponse(_) => AttemptOutcome::Cancelled,
+    }
+}
+
+/// The oldest unanswered health check of a connection has ended; `None` if there is none.
+pub fn finish_health_check<'a>(
+    context: &mut Context, id: ConnectionId, outcome: AttemptOutcome, load: Vec<LoadMetric<'a>>,
+) -> Option<NodeReport<'a>> {
+    let connection = context.connections.node(id);
+    let node = connection.node;
+    let deadline = connection.health_check_deadlines.pop_front()?;
+    context.timers.remove(deadline, Timer::HealthCheckTimeout(id));
+    let latency = context.now - (deadline - context.limits.connect_timeout);
+    Some(NodeReport::HealthCheck(FinishedHealthCheck { node, outcome, latency }, load))
+}
+
+/// Closes a connection on which something came in that cannot be used, or did not come to its end. Guards against
+/// taking good nodes for crashed ones: responses are damaged on the way too. The balancer is told of one attempt,
+/// the one `named` or else the oldest; the others in flight here are cancelled by the close.
+pub fn close_malformed(context: &mut Context, id: ConnectionId, named: Option<AttemptId>) {
+    let connection = context.connections.node(id);
+    let malformed = named.or(connection.in_flight.first().map(|sent| sent.attempt));
+    match malformed {
+        None => {
+            connection.close_cause = CloseCause::Local;
+            context.counters.frames_unexpected += 1;
+        }
+        Some(attempt) => {
+            connection.close_cause = CloseCause::MalformedResponse(attempt);
+            note_malformed_frame(context, id, "its frame could not be used");
+        }
+    }
+    context.effects.push(Effect::Abort(id));
+}
+
+/// Counts a frame that a data node or this router could not read; logged once for each node.
+pub fn note_malformed_frame(context: &mut Context, id: ConnectionId, reason: &str) {
+    context.counters.frames_malformed += 1;
+    let node = context.connections.node(id).node;
+    let endpoint = &mut context.endpoints[node];
+    if !std::mem::replace(&mut endpoint.malformed_frame_logged, true) {
+        tracing::warn!("the data node at {:?} is not understood: {reason}", endpoint.address);
+    }
+}
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -1,6 +1,8 @@
 //! Frames that data nodes send.
 
-use super::{NodeConnections, NodeReport, close_malformed, finish_health_check, note_malformed_frame};
+use super::lifecycle::{
+    NodeReport, close_malformed, close_or_keep_idle, finish_health_check, note_malformed_frame,
+};
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::frames::{self, Read};
 use crate::router::connection::node::PartialFrame;
@@ -19,54 +21,51 @@
     Malformed,
 }
 
-impl NodeConnections {
-    /// Reads what a node has sent, from `offset` on, to the first frame that means something for the balancer. `None`
-    /// means that everything was read, or that the connection is about to be closed.
-    pub fn next_report<'a>(
-        &self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &'a [u8],
-        offset: &mut usize,
-    ) -> Option<NodeReport<'a>> {
-        loop {
-            let rest = &bytes[*offset..];
-            let received = match frames::read(rest) {
-                Read::More => {
-                    self.finish_reading(context, id, rest, *offset);
-                    return None;
-                }
-                Read::Frame(letter, content, length) => {
-                    let received = receive(context, queries, id, letter, content);
-                    if !matches!(received, Received::Malformed) {
-                        *offset += length;
-                    }
-                    received
-                }
-                Read::Bad => Received::Malformed,
-            };
-            match received {
-                Received::Report(report) => return Some(report),
-                Received::Handled => {}
-                Received::Malformed => {
-                    let named = context.connections.node(id).attempt_named_in(rest);
-                    close_malformed(context, id, named);
-                    return None;
+/// Reads what a node has sent, from `offset` on, to the first frame that means something for the balancer. `None`
+/// means that everything was read, or that the connection is about to be closed.
+pub fn next_report<'a>(
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &'a [u8], offset: &mut usize,
+) -> Option<NodeReport<'a>> {
+    loop {
+        let rest = &bytes[*offset..];
+        let received = match frames::read(rest) {
+            Read::More => {
+                finish_reading(context, id, rest, *offset);
+                return None;
+            }
+            Read::Frame(letter, content, length) => {
+                let received = receive(context, queries, id, letter, content);
+                if !matches!(received, Received::Malformed) {
+                    *offset += length;
                 }
+                received
+            }
+            Read::Bad => Received::Malformed,
+        };
+        match received {
+            Received::Report(report) => return Some(report),
+            Received::Handled => {}
+            Received::Malformed => {
+                let named = context.connections.node(id).attempt_named_in(rest);
+                close_malformed(context, id, named);
+                return None;
             }
         }
     }
+}
 
-    /// Notes the frame that has begun to come in, and what was consumed before it.
-    fn finish_reading(&self, context: &mut Context, id: ConnectionId, rest: &[u8], consumed: usize) {
-        let now = context.now;
-        let connection = context.connections.node(id);
-        let since = connection.partial_frame.filter(|_| consumed == 0).map_or(now, |partial| partial.since);
-        let attempt = connection.attempt_named_in(rest);
-        connection.partial_frame = (!rest.is_empty()).then_some(PartialFrame { since, attempt });
-        if consumed > 0 {
-            connection.last_frame_at = now;
-        }
-        context.effects.push(Effect::Consume(id, consumed));
-        self.close_or_keep_idle(context, id);
+/// Notes the frame that has begun to come in, and what was consumed before it.
+fn finish_reading(context: &mut Context, id: ConnectionId, rest: &[u8], consumed: usize) {
+    let now = context.now;
+    let connection = context.connections.node(id);
+    let since = connection.partial_frame.filter(|_| consumed == 0).map_or(now, |partial| partial.since);
+    let attempt = connection.attempt_named_in(rest);
+    connection.partial_frame = (!rest.is_empty()).then_some(PartialFrame { since, attempt });
+    if consumed > 0 {
+        connection.last_frame_at = now;
     }
+    context.effects.push(Effect::Consume(id, consumed));
+    close_or_keep_idle(context, id);
 }
 
 fn receive<'a>(
--- /dev/null
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -0,0 +1,148 @@
+//! Which connection to a node a batch goes on.
+
+use super::lifecycle::open;
+use crate::io::ConnectionId;
+use crate::router::connection::node::{NodeConnection, OutgoingFrame};
+use crate::router::context::Context;
+use crate::router::query_table::QueryTable;
+use balancer::{AttemptId, Micros, NodeId};
+use std::rc::Rc;
+
+/// How well a connection suits an attempt; the smaller, the better.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+enum Suitability {
+    /// It has been idle for a decision interval at least.
+    Rested,
+    /// It became idle recently: its node may close it right behind its last response.
+    JustIdle,
+    /// Something is queued or in flight on it.
+    Busy,
+}
+
+/// A connection that an attempt could go on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Candidate {
+    suitability: Suitability,
+    idle_since: Option<Micros>,
+    connecting: bool,
+    load: usize,
+    connection: ConnectionId,
+}
+
+/// A connection for shard requests with these ids: one that is idle for a decision interval at least, since its
+/// node may close it right behind a response, the longest idle first; else a new one; else one with capacity.
+/// Guards against what befalls a connection befalling everything in flight on it: batches share one only where a
+/// node's share of the connections is used up. Responses carry no attempt number, so no shard request is sent
+/// twice on one connection.
+pub fn connection_for(
+    context: &mut Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
+) -> Option<ConnectionId> {
+    let best = best_connection(context, queries, node, ids);
+    if let Some(candidate) = best
+        && (candidate.suitability == Suitability::Rested || ids.is_empty())
+    {
+        return Some(candidate.connection);
+    }
+    // Clients may hold a third of the connections; the nodes share what is left.
+    let share = 2 * context.limits.max_connections / 3 / context.endpoints.ready_count().max(1);
+    let shared = best.map(|candidate| candidate.connection);
+    let share_is_used_up = context.endpoints[node].connections.len() >= share;
+    if share_is_used_up && shared.is_some() {
+        return shared;
+    }
+    open(context, node).or(shared)
+}
+
+/// Queues a batch on a connection.
+pub fn queue_batch(
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, attempts: Vec<AttemptId>,
+) {
+    for &attempt in &attempts {
+        queries.set_connection(attempt, id);
+    }
+    context.connections.node(id).queue_batch(attempts);
+}
+
+/// Moves batches that wait for a connection to be established to one that has become idle meanwhile; returns the
+/// connections that they are queued on now. Guards against connections that come up late holding up what a
+/// sound one could carry, until the batch counts as never sent.
+pub fn reassign_batches(context: &mut Context, queries: &mut QueryTable) -> Vec<ConnectionId> {
+    let waiting: Vec<(ConnectionId, NodeId)> = context
+        .connections
+        .nodes()
+        .filter(|(_, connection)| !connection.is_established())
+        .filter(|(_, connection)| connection.queued_attempts().next().is_some())
+        .map(|(id, connection)| (id, connection.node))
+        .collect();
+    let mut receivers = Vec::new();
+    for (id, node) in waiting {
+        while let Some(receiver) = reassign_batch(context, queries, id, node) {
+            receivers.push(receiver);
+        }
+    }
+    receivers
+}
+
+/// Moves the first batch queued on a connection, if an idle one suits it.
+fn reassign_batch(
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, node: NodeId,
+) -> Option<ConnectionId> {
+    let index = context.connections.node(id).first_queued_batch()?;
+    let OutgoingFrame::Batch(attempts) = &context.connections.node(id).queue[index] else { return None };
+    let attempts = attempts.clone();
+    let candidate = best_connection(context, queries, node, &queries.ids(&attempts))?;
+    if candidate.suitability != Suitability::Rested {
+        return None;
+    }
+    context.connections.node(id).queue.remove(index);
+    context.counters.batches_reassigned += 1;
+    queue_batch(context, queries, candidate.connection, attempts);
+    Some(candidate.connection)
+}
+
+/// The existing connection that suits shard requests with these ids best.
+fn best_connection(
+    context: &Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
+) -> Option<Candidate> {
+    let candidates = context.endpoints[node].connections.iter().filter_map(|&id| {
+        let connection = context.connections.as_node(id)?;
+        can_carry(context, queries, connection, ids).then(|| candidate(context, id, connection))
+    });
+    candidates.min()
+}
+
+/// Whether shard requests with these ids may be sent on a connection.
+fn can_carry(context: &Context, queries: &QueryTable, connection: &NodeConnection, ids: &[Rc<str>]) -> bool {
+    let idle_since = connection.idle_since();
+    // Guards against a response that comes behind a frame of which only half has come.
+    let half_a_frame_came = idle_since.is_some() && connection.partial_frame.is_some();
+    let carries = |id: &Rc<str>| {
+        connection.abandoned.contains(id)
+            || connection.in_flight.iter().any(|sent| sent.id == *id)
+            || connection
+                .queued_attempts()
+                .any(|attempt| queries.shard_request(attempt.shard_request).id == *id)
+    };
+    !half_a_frame_came
+        && context.endpoints[connection.node].address == Some(connection.address)
+        && connection.reusable
+        && idle_since.is_none_or(|since| context.now - since < context.limits.idle_timeout)
+        && connection.load() + ids.len() <= context.limits.max_requests_per_connection
+        && !ids.iter().any(carries)
+}
+
+fn candidate(context: &Context, id: ConnectionId, connection: &NodeConnection) -> Candidate {
+    let idle_since = connection.idle_since();
+    let suitability = match idle_since {
+        None => Suitability::Busy,
+        Some(since) if context.now - since < context.limits.decision_interval => Suitability::JustIdle,
+        Some(_) => Suitability::Rested,
+    };
+    Candidate {
+        suitability,
+        idle_since,
+        connecting: !connection.is_established(),
+        load: connection.load(),
+        connection: id,
+    }
+}
--- /dev/null
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -0,0 +1,96 @@
+//! What is written on node connections.
+
+use super::lifecycle::set_timer;
+use crate::io::{Bytes, ConnectionId, Effect};
+use crate::protocol::frames;
+use crate::router::connection::node::{HealthCheckKind, InFlight, NodeConnection, OutgoingFrame};
+use crate::router::context::Context;
+use crate::router::query_table::QueryTable;
+use balancer::{AttemptId, AttemptOutcome, Micros};
+use std::rc::Rc;
+
+/// Hands what is queued for a connection to the event loop, once everything before it is written.
+pub fn write(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
+    let Some(connection) = context.connections.as_node(id) else { return };
+    if !connection.is_established() || !connection.is_flushed() || connection.queue.is_empty() {
+        return;
+    }
+    cancel_expired(context, queries, id);
+    let connection = context.connections.node(id);
+    if connection.queue.is_empty() {
+        return;
+    }
+    // Guards against a batch that is sent behind a node's last frame, or behind half of one.
+    let response_due = connection.queued_attempts().next().is_none() || connection.awaits_response();
+    let mut buffers: Vec<Bytes> = Vec::new();
+    while let Some(frame) = context.connections.node(id).queue.pop_front() {
+        encode(context, queries, id, frame, &mut buffers);
+    }
+    context.effects.push(Effect::WriteIfOpen(id, buffers, response_due));
+    set_timer(context, id);
+}
+
+/// Appends a frame to what is written; its attempts are in flight from now on.
+fn encode(
+    context: &mut Context, queries: &QueryTable, id: ConnectionId, frame: OutgoingFrame,
+    buffers: &mut Vec<Bytes>,
+) {
+    let head_index = buffers.len();
+    buffers.push(Rc::from([]));
+    let letter = match &frame {
+        OutgoingFrame::Batch(attempts) => {
+            encode_attempts(queries, attempts, context.now, buffers);
+            context.counters.batches_sent += 1;
+            context.counters.attempts_sent += attempts.len() as u64;
+            b'R'
+        }
+        OutgoingFrame::Cancellation(request) => {
+            buffers.push(request.as_bytes().into());
+            b'A'
+        }
+        OutgoingFrame::HealthCheck(kind) => {
+            context.counters.health_checks_sent += 1;
+            match kind {
+                HealthCheckKind::Health => b'G',
+                HealthCheckKind::Load => b'T',
+            }
+        }
+    };
+    let length = buffers[head_index..].iter().map(|buffer| buffer.len()).sum();
+    let head = frames::head(letter, length);
+    buffers[head_index] = head.into();
+    let connection = context.connections.node(id);
+    connection.bytes_handed_over += (head.len() + length) as u64;
+    if let OutgoingFrame::Batch(attempts) = frame {
+        let end_offset = connection.bytes_handed_over;
+        connection.in_flight.extend(attempts.into_iter().map(|attempt| {
+            let id = queries.shard_request(attempt.shard_request).id.clone();
+            InFlight { id, attempt, end_offset }
+        }));
+    }
+}
+
+/// Cancels queued attempts whose time is over. Guards against sending what expires in this very iteration: sockets
+/// are read before timers expire.
+fn cancel_expired(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
+    let has_expired = |attempt: &AttemptId| {
+        queries.attempt(*attempt).is_some_and(|attempt| attempt.deadline <= context.now)
+    };
+    let connection = context.connections.as_node(id);
+    let expired: Vec<AttemptId> =
+        connection.into_iter().flat_map(NodeConnection::queued_attempts).filter(has_expired).collect();
+    for attempt in expired {
+        context.connections.node(id).remove_queued(attempt);
+        queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent);
+    }
+}
+
+fn encode_attempts(queries: &QueryTable, attempts: &[AttemptId], now: Micros, buffers: &mut Vec<Bytes>) {
+    for attempt in attempts {
+        let (request, query) = queries.request_and_query(attempt.shard_request);
+        let deadline = request.attempts[attempt.number.0].deadline;
+        let wait_ms = (deadline - now).max(0) / 1000;
+        let line = frames::part_line(&request.id, request.shard, wait_ms, query.text.len());
+        buffers.extend([line.into_bytes().into(), query.text.clone()]);
+    }
+}
--- /dev/null
+++ b/crates/query-router/src/router/state.rs
@@ -0,0 +1,97 @@
+//! The components together, and what the balancer may ask of them.
+
+use crate::config::Config;
+use crate::counters::debug_invariant;
+use crate::router::clients::Clients;
+use crate::router::context::Context;
+use crate::router::discovery::Discovery;
+use crate::router::dispatch::Dispatcher;
+use crate::router::query_table::QueryTable;
+use crate::router::timers::Timer;
+use balancer::{Actions, AttemptId, AttemptOutcome, Completion, Micros, NodeId, QueryId, ShardRequestId};
+
+/// All that the router holds but the balancer, which acts on it.
+pub struct State {
+    /// What all components share.
+    pub context: Context,
+    /// The queries in progress.
+    pub queries: QueryTable,
+    /// The client connections.
+    pub clients: Clients,
+    /// The batches for data nodes.
+    pub dispatcher: Dispatcher,
+    /// The requests to discovery.
+    pub discovery: Discovery,
+}
+
+impl State {
+    /// The state of a router that starts now.
+    pub fn new(config: &Config, now: Micros) -> State {
+        State {
+            context: Context::new(config, now),
+            queries: QueryTable::default(),
+            clients: Clients::new(config),
+            dispatcher: Dispatcher::new(config),
+            discovery: Discovery::new(config),
+        }
+    }
+}
+
+impl Actions for State {
+    fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>) {
+        self.dispatcher.add_attempt(&mut self.context, &mut self.queries, shard_request, node, timeout);
+    }
+
+    fn cancel_attempt(&mut self, attempt: AttemptId) {
+        self.dispatcher.cancel(&mut self.context, &mut self.queries, attempt, AttemptOutcome::Cancelled);
+    }
+
+    fn complete_query(&mut self, query: QueryId, completion: Completion) {
+        let State { context, queries, clients, dispatcher, .. } = self;
+        let client = queries.end_query(query);
+        debug_invariant!(context.counters, client.is_some(), "one final answer");
+        dispatcher.cancel_unsent(context, queries, query);
+        if let Some(id) = client {
+            clients.answer(context, queries, id, query, completion);
+        }
+    }
+
+    fn release_query(&mut self, query: QueryId) {
+        self.queries.release_query(query);
+    }
+
+    fn release_node(&mut self, node: NodeId) {
+        self.context.endpoints.release(node);
+        self.context.close_idle_nodes(node);
+        self.context.endpoints.free_if_unused(node);
+    }
+
+    fn set_timer(&mut self, delay: Micros, token: u64) {
+        self.context.timers.insert(self.context.now + delay, Timer::Balancer(token));
+    }
+
+    fn check_health(&mut self, node: NodeId) {
+        let State { context, queries, dispatcher, .. } = self;
+        dispatcher.check_health(context, queries, node);
+    }
+
+    fn close_idle_connections(&mut self, node: NodeId) {
+        self.context.close_idle_nodes(node);
+    }
+
+    fn watch_endpoints(&mut self, enabled: bool) {
+        if enabled {
+            self.discovery.start_watch(&mut self.context);
+        } else {
+            self.discovery.stop_watch(&mut self.context);
+        }
+    }
+
+    fn poll_endpoints(&mut self) {
+        self.discovery.poll(&mut self.context);
+    }
+
+    fn log(&mut self, line: &str) {
+        tracing::info!("{line}");
+    }
+}
--- a/crates/query-router/src/router/tests/mod.rs
+++ b/crates/query-router/src/router/tests/mod.rs
@@ -7,7 +7,7 @@
 use super::*;
 use crate::io::Bytes;
 use crate::protocol::frames;
-use balancer::AttemptNumber;
+use balancer::{Actions, AttemptId, AttemptNumber, ShardRequestId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -119,8 +119,8 @@
     }
 
     fn connection_for(&mut self, node: usize, ids: &[std::rc::Rc<str>]) -> Option<ConnectionId> {
-        let State { context, queries, dispatcher, .. } = &mut self.router.state;
-        dispatcher.node_connections.connection_for(context, queries, NodeId(node), ids)
+        let State { context, queries, .. } = &mut self.router.state;
+        node_connections::connection_for(context, queries, NodeId(node), ids)
     }
 
     fn poll(&mut self) -> Option<ConnectionId> {
