--- a/crates/query-router/src/router/clients.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -1,7 +1,9 @@
 //! Client connections: requests in, answers out, one at a time on each.
 
+mod idle;
+mod replies;
+
 use crate::config::{Config, numbered};
-use crate::counters::debug_invariant;
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::http::{self, MAX_REQUEST_BYTES, Request};
 use crate::protocol::query_request::{QueryVocabulary, Segment};
@@ -10,11 +12,11 @@
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use balancer::{Completion, Micros, QueryArrival, QueryId};
+use idle::{LINGER, evict_surplus_idle, half_close};
+use replies::Replies;
 
 /// How long a new connection may stay without a request, as the operators state it.
 const FIRST_REQUEST_TIMEOUT: Micros = 2_000_000;
-/// How long a connection that was closed for writing is still read.
-const LINGER: Micros = 1_000_000;
 /// Incomplete requests of all clients may take up one part in so many of the memory.
 const UNCONSUMED_SHARE_OF_MEMORY: usize = 4;
 
@@ -31,8 +33,7 @@
 pub struct Clients {
     /// How many have connected and wait until a connection can be accepted.
     pending_accepts: usize,
-    /// The longest deadline of any service class: how long a client may take to send or to read.
-    longest_deadline: Micros,
+    replies: Replies,
     /// How many bytes were received from all clients and are not consumed, and how many there may be.
     unconsumed: usize,
     max_unconsumed: usize,
@@ -50,7 +51,7 @@
         let max_in_flight = settings.number("limits.max_in_flight").map(|max| max as usize);
         Clients {
             pending_accepts: 0,
-            longest_deadline: deadlines.max().unwrap_or(0),
+            replies: Replies { longest_deadline: deadlines.max().unwrap_or(0) },
             unconsumed: 0,
             max_unconsumed: config.memory.map_or(usize::MAX, |bytes| bytes / UNCONSUMED_SHARE_OF_MEMORY),
             max_in_flight: max_in_flight.filter(|&max| max > 0),
@@ -64,7 +65,7 @@
 
     /// The longest deadline of any service class.
     pub fn longest_deadline(&self) -> Micros {
-        self.longest_deadline
+        self.replies.longest_deadline
     }
 
     /// A client has connected.
@@ -123,7 +124,7 @@
                 client.close_after_answer = true;
                 context.counters.requests_over_memory += 1;
                 self.consume(context, id, bytes.len());
-                self.reply_line(context, id, 503, "too much has come of requests that are not whole");
+                self.replies.reply_line(context, id, 503, "too much has come of requests that are not whole");
                 None
             }
             Ok(None) => {
@@ -134,7 +135,7 @@
                 client.close_after_answer = true;
                 self.consume(context, id, bytes.len());
                 context.counters.requests_invalid += 1;
-                self.reply_line(context, id, status, reason);
+                self.replies.reply_line(context, id, status, reason);
                 None
             }
         }
@@ -146,7 +147,7 @@
         if client.without_request() && !bytes.is_empty() {
             client.state = ClientState::ReceivingRequest;
             let answer_deadline = context.shutdown.answer_deadline().unwrap_or(Micros::MAX);
-            let deadline = answer_deadline.min(context.now + self.longest_deadline);
+            let deadline = answer_deadline.min(context.now + self.replies.longest_deadline);
             context.set_connection_timer(id, Some(deadline));
         }
         if http::waits(bytes) {
@@ -164,22 +165,22 @@
             "/api" => "POST",
             "/-/ready" | "/-/healthy" | "/-/counters" => "GET",
             _ => {
-                self.reply_line(context, id, 404, "nothing is served under this path");
+                self.replies.reply_line(context, id, 404, "nothing is served under this path");
                 return None;
             }
         };
         if request.method != allowed_method {
-            self.reply_line(context, id, 405, &format!("this path takes {allowed_method}"));
+            self.replies.reply_line(context, id, 405, &format!("this path takes {allowed_method}"));
             return None;
         }
         match path {
-            "/-/ready" if context.shutdown.has_begun() => self.reply_line(context, id, 503, "ending"),
+            "/-/ready" if context.shutdown.has_begun() => self.replies.reply_line(context, id, 503, "ending"),
             "/-/counters" => {
                 let lines = context.counters.lines();
-                self.reply(context, id, 200, "text/plain", lines.into_bytes(), None);
+                self.replies.reply(context, id, 200, "text/plain", lines.into_bytes(), None);
             }
             "/api" => return self.accept_query(context, queries, id, request),
-            _ => self.reply_line(context, id, 200, "OK"),
+            _ => self.replies.reply_line(context, id, 200, "OK"),
         }
         None
     }
@@ -202,7 +203,7 @@
         };
         if self.max_in_flight.is_some_and(|max| queries.open_count() >= max) {
             context.counters.queries_over_limit += 1;
-            self.reply_line(context, id, 503, "too many retrievals are in hand");
+            self.replies.reply_line(context, id, 503, "too many retrievals are in hand");
             return None;
         }
         let deadline = context.now + query.deadline;
@@ -224,47 +225,7 @@
 
     fn reject_invalid(&self, context: &mut Context, id: ConnectionId, reason: &str) {
         context.counters.requests_invalid += 1;
-        self.reply_line(context, id, 400, reason);
-    }
-
-    /// Writes the final answer to a query.
-    pub fn answer(
-        &self, context: &mut Context, queries: &QueryTable, id: ConnectionId, query: QueryId,
-        completion: Completion,
-    ) {
-        count_completion(context, completion);
-        match completion {
-            Completion::Complete | Completion::Partial => {
-                let body = queries.answer_body(query, completion == Completion::Complete);
-                debug_invariant!(context.counters, body.values > 0, "an answer has a value");
-                self.reply(context, id, 200, "application/json", body.bytes, None);
-            }
-            Completion::Rejected { retry_after } => {
-                self.reply(context, id, 503, "text/plain", b"deferred\n".to_vec(), retry_after);
-            }
-            Completion::Failed => {
-                self.reply(context, id, 502, "text/plain", b"given up\n".to_vec(), None);
-            }
-        }
-    }
-
-    /// Writes an answer; the client has as long to read it as it may wait for one.
-    fn reply(
-        &self, context: &mut Context, id: ConnectionId, status: u16, content_type: &str, body: Vec<u8>,
-        retry_after: Option<Micros>,
-    ) {
-        let client = context.connections.client(id);
-        client.state = ClientState::SendingAnswer;
-        client.close_after_answer |= context.shutdown.has_begun();
-        let retry_after_seconds = retry_after.map(|wait| wait as f64 / 1e6);
-        let head =
-            http::head(status, content_type, body.len(), retry_after_seconds, client.close_after_answer);
-        context.effects.push(Effect::Write(id, vec![head.into_bytes().into(), body.into()]));
-        context.set_connection_timer(id, Some(context.now + self.longest_deadline));
-    }
-
-    fn reply_line(&self, context: &mut Context, id: ConnectionId, status: u16, line: &str) {
-        self.reply(context, id, status, "text/plain", format!("{line}\n").into_bytes(), None);
+        self.replies.reply_line(context, id, 400, reason);
     }
 
     /// An answer is written: closes the connection, or waits for the next request on it.
@@ -287,13 +248,21 @@
         evict_surplus_idle(context);
     }
 
+    /// Writes the final answer to a query.
+    pub fn answer(
+        &self, context: &mut Context, queries: &QueryTable, id: ConnectionId, query: QueryId,
+        completion: Completion,
+    ) {
+        self.replies.answer(context, queries, id, query, completion);
+    }
+
     /// A connection's timer has expired.
     pub fn timer_expired(&mut self, context: &mut Context, id: ConnectionId) {
         let client = context.connections.client(id);
         match client.state {
             ClientState::ReceivingRequest => {
                 client.close_after_answer = true;
-                self.reply_line(context, id, 408, "the request took too long to come");
+                self.replies.reply_line(context, id, 408, "the request took too long to come");
             }
             ClientState::New | ClientState::Idle if context.shutdown.closes_idle() => {
                 half_close(context, id);
@@ -309,11 +278,7 @@
 
     /// Graceful shutdown: closes the connections without a request.
     pub fn close_idle(&self, context: &mut Context) {
-        context.shutdown.close_idle();
-        let idle: Vec<ConnectionId> = without_request(context).map(|(id, _)| id).collect();
-        for id in idle {
-            half_close(context, id);
-        }
+        idle::close_idle(context);
     }
 
     /// Graceful shutdown: answers the requests that have not come in by the deadline.
@@ -325,7 +290,7 @@
             .map(|(id, _)| id)
             .collect();
         for id in incomplete {
-            self.reply_line(context, id, 503, "ending");
+            self.replies.reply_line(context, id, 503, "ending");
         }
     }
 
@@ -356,42 +321,3 @@
         context.effects.push(Effect::Consume(id, count));
     }
 }
-
-/// Closes a connection between requests so that one which crosses the close meets no reset: its client asks again.
-fn half_close(context: &mut Context, id: ConnectionId) {
-    context.connections.client(id).state = ClientState::HalfClosed;
-    context.effects.push(Effect::CloseWrite(id));
-    context.set_connection_timer(id, Some(context.now + LINGER));
-}
-
-/// The clients without a request.
-fn without_request(context: &Context) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
-    context.connections.clients().filter(|(_, client)| client.without_request())
-}
-
-/// Evicts idle clients, the longest idle first. Guards against clients that send one request and stay, or never send
-/// one: clients may hold a third of the connections for requests, and of that at most half may have none, so that
-/// others can be accepted.
-fn evict_surplus_idle(context: &mut Context) {
-    let max_without_request = (context.limits.max_connections / 6).max(1);
-    let surplus = without_request(context).count().saturating_sub(max_without_request);
-    if surplus == 0 {
-        return;
-    }
-    let mut idle: Vec<(Micros, ConnectionId)> =
-        without_request(context).filter_map(|(id, client)| Some((client.idle_since()?, id))).collect();
-    idle.sort_unstable();
-    for (_, id) in idle.into_iter().take(surplus) {
-        context.evict_client(id);
-    }
-}
-
-fn count_completion(context: &mut Context, completion: Completion) {
-    let count = match completion {
-        Completion::Complete => &mut context.counters.queries_complete,
-        Completion::Partial => &mut context.counters.queries_partial,
-        Completion::Rejected { .. } => &mut context.counters.queries_rejected,
-        Completion::Failed => &mut context.counters.queries_failed,
-    };
-    *count += 1;
-}
--- /dev/null
+++ b/crates/query-router/src/router/clients/replies.rs
@@ -0,0 +1,68 @@
+//! What is written to clients.
+
+use crate::counters::debug_invariant;
+use crate::io::{ConnectionId, Effect};
+use crate::protocol::http;
+use crate::router::connection::client::ClientState;
+use crate::router::context::Context;
+use crate::router::query_table::QueryTable;
+use balancer::{Completion, Micros, QueryId};
+
+/// Writes answers.
+pub struct Replies {
+    /// The longest deadline of any service class: how long a client may take to read an answer.
+    pub longest_deadline: Micros,
+}
+
+impl Replies {
+    /// Writes the final answer to a query.
+    pub fn answer(
+        &self, context: &mut Context, queries: &QueryTable, id: ConnectionId, query: QueryId,
+        completion: Completion,
+    ) {
+        count_completion(context, completion);
+        match completion {
+            Completion::Complete | Completion::Partial => {
+                let body = queries.answer_body(query, completion == Completion::Complete);
+                debug_invariant!(context.counters, body.values > 0, "an answer has a value");
+                self.reply(context, id, 200, "application/json", body.bytes, None);
+            }
+            Completion::Rejected { retry_after } => {
+                self.reply(context, id, 503, "text/plain", b"deferred\n".to_vec(), retry_after);
+            }
+            Completion::Failed => {
+                self.reply(context, id, 502, "text/plain", b"given up\n".to_vec(), None);
+            }
+        }
+    }
+
+    /// Writes an answer; the client has as long to read it as it may wait for one.
+    pub fn reply(
+        &self, context: &mut Context, id: ConnectionId, status: u16, content_type: &str, body: Vec<u8>,
+        retry_after: Option<Micros>,
+    ) {
+        let client = context.connections.client(id);
+        client.state = ClientState::SendingAnswer;
+        client.close_after_answer |= context.shutdown.has_begun();
+        let retry_after_seconds = retry_after.map(|wait| wait as f64 / 1e6);
+        let head =
+            http::head(status, content_type, body.len(), retry_after_seconds, client.close_after_answer);
+        context.effects.push(Effect::Write(id, vec![head.into_bytes().into(), body.into()]));
+        context.set_connection_timer(id, Some(context.now + self.longest_deadline));
+    }
+
+    /// Writes an answer of one line of plain text.
+    pub fn reply_line(&self, context: &mut Context, id: ConnectionId, status: u16, line: &str) {
+        self.reply(context, id, status, "text/plain", format!("{line}\n").into_bytes(), None);
+    }
+}
+
+fn count_completion(context: &mut Context, completion: Completion) {
+    let count = match completion {
+        Completion::Complete => &mut context.counters.queries_complete,
+        Completion::Partial => &mut context.counters.queries_partial,
+        Completion::Rejected { .. } => &mut context.counters.queries_rejected,
+        Completion::Failed => &mut context.counters.queries_failed,
+    };
+    *count += 1;
+}
