--- /dev/null
+++ b/crates/query-router/src/router/tests/connection_limit.rs
@@ -0,0 +1,53 @@
+//! Which connections make room for others.
+
+use super::*;
+
+#[test]
+fn idle_connections_are_evicted_before_a_client_waits() {
+    let mut rig = Rig::new();
+    // Six connections are allowed; one is discovery's. A new one is about to have its request: it stays.
+    let clients: Vec<ConnectionId> = (0..5).map(|_| rig.client()).collect();
+    rig.step(Event::ClientConnected);
+    assert_eq!((rig.peers.accepted.len(), rig.router.counters().client_connections_delayed), (5, 1));
+    // One that has been answered and has nothing unread is parted with.
+    rig.step(Event::Received(clients[3], b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    rig.decide();
+    assert_eq!((&rig.peers.closed[..], rig.peers.accepted.len()), (&[clients[3]][..], 6));
+    // Nor does one stay for ever that never asks.
+    rig.step(Event::ClientConnected);
+    rig.pass(2_100_000);
+    assert_eq!(rig.peers.accepted.len(), 7);
+}
+
+#[test]
+fn an_unread_request_keeps_its_connection_from_eviction() {
+    let mut rig = Rig::new();
+    let clients: Vec<ConnectionId> = (0..5).map(|_| rig.client()).collect();
+    rig.peers.unread = vec![clients[1]];
+    rig.step(Event::Received(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    rig.step(Event::ClientConnected);
+    rig.step(Event::Received(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    assert!(rig.peers.closed.is_empty() && rig.written(clients[1]).matches("200 OK").count() == 2);
+}
+
+#[test]
+fn surplus_clients_without_a_request_are_evicted() {
+    let mut rig = Rig::new();
+    rig.router.state.context.limits.max_connections = 24;
+    // A sixth of the sockets may rest with clients that ask nothing.
+    let asked: Vec<ConnectionId> = (0..6)
+        .map(|_| {
+            let conn = rig.client();
+            rig.step(Event::Received(conn, b"GET /-/ready HTTP/1.1\r\n\r\n"));
+            rig.now += 1;
+            conn
+        })
+        .collect();
+    assert_eq!(rig.peers.closed, asked[..2]);
+    // New ones are about to ask; those that have asked before make room for them.
+    let silent: Vec<ConnectionId> = (0..6).map(|_| rig.client()).collect();
+    assert_eq!(rig.peers.closed.len(), 6);
+    assert!(!silent.iter().any(|conn| rig.peers.closed[6..].contains(conn)));
+    rig.pass(2_100_000);
+    assert_eq!((rig.peers.closed.len(), rig.router.state.context.connections.clients().count()), (8, 4));
+}
