--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -89,42 +89,52 @@
         }
     }
 
-    /// Reads what a client has sent, a query if there is one.
+    /// Reads what a client has sent; returns a query if that is what it has requested.
     pub fn received(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
     ) -> Option<AcceptedQuery> {
         self.set_unconsumed(context, id, bytes.len());
-        let is_over_memory = self.unconsumed > self.max_unconsumed;
         let client = context.connections.client(id);
         match client.state {
+            ClientState::New | ClientState::Idle | ClientState::ReceivingRequest => {}
             ClientState::ClosingIfIdle => client.state = ClientState::Idle,
-            // Guards against a client that sends much at once and goes: its end lies behind what is not read.
-            ClientState::AwaitingAnswer(_) | ClientState::SendingAnswer
-                if client.close_after_answer || is_over_memory || bytes.len() >= MAX_REQUEST_BYTES =>
-            {
-                client.close_after_answer = true;
-                self.consume(context, id, bytes.len());
+            ClientState::AwaitingAnswer(_) | ClientState::SendingAnswer => {
+                self.received_before_answer(context, id, bytes.len());
                 return None;
             }
-            ClientState::AwaitingAnswer(_) | ClientState::SendingAnswer => return None,
             ClientState::HalfClosed => {
                 self.consume(context, id, bytes.len());
                 return None;
             }
-            ClientState::New | ClientState::Idle | ClientState::ReceivingRequest => {}
         }
+        self.read_request(context, queries, id, bytes)
+    }
+
+    /// What comes before the answer to the last request waits, within limits. Guards against a client that sends much
+    /// at once and goes: its end lies behind what is not read.
+    fn received_before_answer(&mut self, context: &mut Context, id: ConnectionId, length: usize) {
+        let is_over_memory = self.is_over_memory();
+        let client = context.connections.client(id);
+        if client.close_after_answer || is_over_memory || length >= MAX_REQUEST_BYTES {
+            client.close_after_answer = true;
+            self.consume(context, id, length);
+        }
+    }
+
+    fn read_request(
+        &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
+    ) -> Option<AcceptedQuery> {
         match http::request(bytes) {
             Ok(Some(request)) => {
-                client.close_after_answer = request.last;
+                context.connections.client(id).close_after_answer = request.last;
                 self.consume(context, id, request.length);
                 context.set_connection_timer(id, None);
                 self.request(context, queries, id, &request)
             }
-            Ok(None) if is_over_memory => {
-                client.close_after_answer = true;
+            Ok(None) if self.is_over_memory() => {
                 context.counters.requests_over_memory += 1;
-                self.consume(context, id, bytes.len());
-                self.replies.reply_line(context, id, 503, "too much has come of requests that are not whole");
+                let reason = "too much has come of requests that are not whole";
+                self.reject_unread(context, id, bytes.len(), 503, reason);
                 None
             }
             Ok(None) => {
@@ -132,15 +142,22 @@
                 None
             }
             Err((status, reason)) => {
-                client.close_after_answer = true;
-                self.consume(context, id, bytes.len());
                 context.counters.requests_invalid += 1;
-                self.replies.reply_line(context, id, status, reason);
+                self.reject_unread(context, id, bytes.len(), status, reason);
                 None
             }
         }
     }
 
+    /// Answers a request that is not read to its end; the connection cannot be used after that.
+    fn reject_unread(
+        &mut self, context: &mut Context, id: ConnectionId, length: usize, status: u16, reason: &str,
+    ) {
+        context.connections.client(id).close_after_answer = true;
+        self.consume(context, id, length);
+        self.replies.reply_line(context, id, status, reason);
+    }
+
     /// A request has come in only in part.
     fn incomplete_request(&self, context: &mut Context, id: ConnectionId, bytes: &[u8]) {
         let client = context.connections.client(id);
@@ -308,6 +325,10 @@
         context.close(id);
     }
 
+    fn is_over_memory(&self) -> bool {
+        self.unconsumed > self.max_unconsumed
+    }
+
     /// Notes how many received bytes of a client are not consumed. Guards against many requests that begin and are
     /// never complete, or stand behind others, each within its own limit and together beyond the memory.
     fn set_unconsumed(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
--- a/crates/query-router/src/router/connection/discovery.rs
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -233,8 +233,8 @@
     }
 }
 
-/// The revision of a list that can be used as a whole; its entries are judged one by one. An incremental update may
-/// name an endpoint twice, a full list may not.
+/// The revision of a list that can be used; its entries are checked one by one later. An incremental update may name
+/// an endpoint twice, a full list may not.
 fn checked_revision(list: &Json, update: EndpointUpdate) -> Result<u64, DiscoveryError> {
     let revision = list["revision"].as_u64().ok_or(DiscoveryError::RevisionInvalid)?;
     let members = list["members"].as_array().ok_or(DiscoveryError::MembersInvalid)?;
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -117,7 +117,7 @@
     pub partial_frame: Option<PartialFrame>,
     /// Why it ends.
     pub close_cause: CloseCause,
-    /// When the unanswered health checks are overdue.
+    /// By when the unanswered health checks must be answered, oldest first.
     pub health_check_deadlines: VecDeque<Micros>,
 }
 
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -96,15 +96,15 @@
     /// Cancels what is not known to be written in full of a query that has ended. Guards against sending what nobody
     /// waits for: on a connection that is established late, once a connection can be opened, or behind what a node
     /// does not read.
-    pub fn cancel_unsent(&mut self, context: &mut Context, queries: &mut QueryTable, query: QueryId) {
+    pub fn cancel_unwritten(&mut self, context: &mut Context, queries: &mut QueryTable, query: QueryId) {
         let Some(entry) = queries.query(query) else { return };
-        let unsent: Vec<AttemptId> = entry
+        let unwritten: Vec<AttemptId> = entry
             .shard_requests
             .iter()
             .flat_map(|&request| queries.attempts(request))
-            .filter(|&attempt| is_unsent(context, queries, attempt))
+            .filter(|&attempt| is_unwritten(context, queries, attempt))
             .collect();
-        for attempt in unsent {
+        for attempt in unwritten {
             self.cancel(context, queries, attempt, AttemptOutcome::NotSent);
         }
     }
@@ -192,7 +192,7 @@
 }
 
 /// Whether an attempt has not ended and is not known to be written in full.
-fn is_unsent(context: &Context, queries: &QueryTable, attempt: AttemptId) -> bool {
+fn is_unwritten(context: &Context, queries: &QueryTable, attempt: AttemptId) -> bool {
     // The connection of an attempt that has ended may belong to another node by now.
     let Some(state) = queries.attempt(attempt).filter(|state| !state.finished) else { return false };
     let connection = state.connection.and_then(|id| context.connections.as_node(id));
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -270,7 +270,7 @@
         let State { context, queries, clients, dispatcher, .. } = &mut self.state;
         if let Some(query) = clients.awaited_query(context, id) {
             queries.end_query(query);
-            dispatcher.cancel_unsent(context, queries, query);
+            dispatcher.cancel_unwritten(context, queries, query);
             context.counters.queries_abandoned_by_client += 1;
             self.balancer.client_disconnected(context.now, query);
             self.decision_due = true;
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -38,7 +38,7 @@
     let Some(id) = connection_for(context, queries, node, &[]) else { return };
     let deadline = context.now + context.limits.connect_timeout;
     let connection = context.connections.node(id);
-    // No two are overdue at one time: a timer stands for one health check.
+    // No two have the same deadline: a timer stands for one health check.
     let last_deadline = connection.health_check_deadlines.back();
     let deadline = last_deadline.map_or(deadline, |last| deadline.max(last + 1));
     connection.queue.push_back(OutgoingFrame::HealthCheck(kind));
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Suitability {
     /// It has been idle for a decision interval at least.
-    Rested,
+    Idle,
     /// It became idle recently: its node may close it right behind its last response.
     JustIdle,
     /// Something is queued or in flight on it.
@@ -39,7 +39,7 @@
 ) -> Option<ConnectionId> {
     let best = best_connection(context, queries, node, ids);
     if let Some(candidate) = best
-        && (candidate.suitability == Suitability::Rested || ids.is_empty())
+        && (candidate.suitability == Suitability::Idle || ids.is_empty())
     {
         return Some(candidate.connection);
     }
@@ -91,7 +91,7 @@
     let OutgoingFrame::Batch(attempts) = &context.connections.node(id).queue[index] else { return None };
     let attempts = attempts.clone();
     let candidate = best_connection(context, queries, node, &queries.ids(&attempts))?;
-    if candidate.suitability != Suitability::Rested {
+    if candidate.suitability != Suitability::Idle {
         return None;
     }
     context.connections.node(id).queue.remove(index);
@@ -136,7 +136,7 @@
     let suitability = match idle_since {
         None => Suitability::Busy,
         Some(since) if context.now - since < context.limits.decision_interval => Suitability::JustIdle,
-        Some(_) => Suitability::Rested,
+        Some(_) => Suitability::Idle,
     };
     Candidate {
         suitability,
--- a/crates/query-router/src/router/state.rs
+++ b/crates/query-router/src/router/state.rs
@@ -50,7 +50,7 @@
         let State { context, queries, clients, dispatcher, .. } = self;
         let client = queries.end_query(query);
         debug_invariant!(context.counters, client.is_some(), "one final answer");
-        dispatcher.cancel_unsent(context, queries, query);
+        dispatcher.cancel_unwritten(context, queries, query);
         if let Some(id) = client {
             clients.answer(context, queries, id, query, completion);
         }
--- a/crates/query-router/src/router/tests/dispatch.rs
+++ b/crates/query-router/src/router/tests/dispatch.rs
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn unsent_attempts_of_an_ended_query_are_removed_where_cancelling_is_disabled() {
+fn queued_attempts_of_an_ended_query_are_removed_where_cancelling_is_disabled() {
     let config = CONFIG.replace("\"cancelling\":true", "\"cancelling\":false");
     let mut rig = Rig::with_config(&config.replace("\"connectTimeoutNs\":250", "\"connectTimeoutNs\":9000"));
     let client = rig.query("look", "t1");
