--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -2,7 +2,7 @@
 
 use super::socket::{ConnectState, Socket, Unread, WriteOutcome, start_connecting};
 use super::{ExitState, Server, print_to_stderr};
-use crate::io::{ConnectionId, Effect, Event, Piece};
+use crate::io::{Bytes, ConnectionId, Effect, Event};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use std::net::{SocketAddr, TcpStream};
@@ -44,7 +44,7 @@
     /// Carries out what the router asked, and reports what came of that, until nothing is left.
     pub(super) fn carry_out_effects(&mut self) {
         loop {
-            for effect in std::mem::take(&mut self.router.desk.effects) {
+            for effect in self.router.take_effects() {
                 self.carry_out(effect);
             }
             let now = self.clock.now();
@@ -69,23 +69,25 @@
     /// Carries out one effect. What follows from it is queued and reported later.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Adopt(connection) => {
+            Effect::Accept(connection) => {
                 if let Some(stream) = self.listener.take_accepted() {
                     self.register(connection, stream, ConnectState::Connected);
                 }
             }
             Effect::Connect(connection, address) => self.connect(connection, address),
-            Effect::Taken(connection, count) => {
+            Effect::Consume(connection, count) => {
                 if let Some(socket) = self.socket_mut(connection) {
                     socket.consume_input(count);
                 }
             }
-            Effect::Read(connection) => self.pending_events.push_back(PendingEvent::ReadAgain(connection)),
+            Effect::Redeliver(connection) => {
+                self.pending_events.push_back(PendingEvent::ReadAgain(connection))
+            }
             Effect::Write(connection, pieces) => self.write(connection, pieces),
-            Effect::Send(connection, pieces, answer_due) => {
+            Effect::WriteIfOpen(connection, pieces, answer_due) => {
                 self.write_unless_ended(connection, pieces, answer_due);
             }
-            Effect::Finish(connection) => {
+            Effect::CloseWrite(connection) => {
                 if let Some(socket) = self.socket(connection) {
                     socket.shut_down_writing();
                 }
@@ -95,15 +97,15 @@
                 // The id may be reused, so what was to be reported of this connection is void.
                 self.pending_events.retain(|event| event.connection() != connection);
             }
-            Effect::Part(connection) => {
+            Effect::CloseIfIdle(connection) => {
                 // What has come in, an end too, is handled when the loop reads it.
                 if self.unread(connection) == Some(Unread::Nothing) {
                     self.close_and_report(connection);
                 }
             }
-            Effect::Break(connection) => self.close_and_report(connection),
-            Effect::Timer(wake_at) => self.wake_at = wake_at,
-            Effect::Report(lines) => print_to_stderr(&lines),
+            Effect::Abort(connection) => self.close_and_report(connection),
+            Effect::WakeAt(wake_at) => self.wake_at = wake_at,
+            Effect::PrintCounters(lines) => print_to_stderr(&lines),
             Effect::Exit => self.exit = ExitState::Requested,
         }
     }
@@ -115,7 +117,7 @@
         }
     }
 
-    fn write(&mut self, connection: ConnectionId, pieces: Vec<Piece>) {
+    fn write(&mut self, connection: ConnectionId, pieces: Vec<Bytes>) {
         if let Some(socket) = self.socket_mut(connection) {
             socket.queue_output(pieces);
             self.write_queued(connection);
@@ -123,7 +125,7 @@
     }
 
     /// Writes, unless the peer has closed or has sent something though no answer was due: then it closes.
-    fn write_unless_ended(&mut self, connection: ConnectionId, pieces: Vec<Piece>, answer_due: bool) {
+    fn write_unless_ended(&mut self, connection: ConnectionId, pieces: Vec<Bytes>, answer_due: bool) {
         match self.unread(connection) {
             Some(Unread::End) => self.close_and_report(connection),
             Some(Unread::Bytes) if !answer_due => self.close_and_report(connection),
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -17,7 +17,7 @@
 use crate::config::Config;
 use crate::io::{ConnectionId, Event};
 use crate::protocol::http::MAX_BODY_BYTES;
-use crate::reducer::Router;
+use crate::router::Router;
 use balancer::Micros;
 use calloop::{EventLoop, LoopHandle, Readiness};
 use clock::Clock;
@@ -79,7 +79,7 @@
         event_loop.dispatch(timeout, &mut server).map_err(ServeError::EventLoop)?;
         server.run_iteration();
     }
-    print_to_stderr(&server.router.desk.counters.lines());
+    print_to_stderr(&server.router.counters().lines());
     Ok(())
 }
 
@@ -140,7 +140,7 @@
         }
         self.handle_signals();
         if self.wake_at.is_some_and(|at| at <= self.clock.now()) {
-            self.report_event(Event::Alarm);
+            self.report_event(Event::TimerExpired);
         }
         self.decide();
         self.exit_if_requested();
@@ -171,7 +171,7 @@
                     self.close_and_report(connection);
                     return self.carry_out_effects();
                 }
-                ConnectProgress::Connected => self.report_event(Event::Up(connection)),
+                ConnectProgress::Connected => self.report_event(Event::Established(connection)),
             }
         }
         if readiness.writable {
@@ -195,7 +195,7 @@
                 ReadOutcome::Interrupted => {}
                 ReadOutcome::WouldBlock | ReadOutcome::BufferFull => return,
                 ReadOutcome::EndOfStream => {
-                    self.router.step(self.clock.now(), Event::Closed(connection));
+                    self.router.step(self.clock.now(), Event::PeerClosed(connection));
                     return self.close_after_reading(connection);
                 }
                 ReadOutcome::Failed => return self.close_after_reading(connection),
@@ -215,7 +215,7 @@
     fn accept_clients(&mut self) {
         while !self.listener.has_accepted() {
             match self.listener.accept_next(&self.clock) {
-                AcceptOutcome::Accepted => self.report_event(Event::Arrived),
+                AcceptOutcome::Accepted => self.report_event(Event::ClientConnected),
                 AcceptOutcome::NoneWaiting => return,
                 AcceptOutcome::Failed => break,
             }
@@ -226,7 +226,7 @@
     fn handle_signals(&mut self) {
         for request in std::mem::take(&mut self.pending_signals) {
             match request {
-                SignalRequest::ReportCounters => self.report_event(Event::Report),
+                SignalRequest::ReportCounters => self.report_event(Event::ReportCounters),
                 SignalRequest::ReloadConfig => self.reload_config(),
                 SignalRequest::Terminate => self.report_event(Event::Terminate),
             }
@@ -241,7 +241,7 @@
                 if !unapplied.is_empty() {
                     tracing::warn!("heeded at the next start only: {}", unapplied.join(", "));
                 }
-                self.report_event(Event::Discovery(newer.discovery));
+                self.report_event(Event::DiscoveryMoved(newer.discovery));
             }
             Err(error) => tracing::warn!("the configuration stays as it was: {error}"),
         }
@@ -249,7 +249,7 @@
 
     /// Has the router decide on what it was told.
     fn decide(&mut self) {
-        self.router.settle(self.clock.now());
+        self.router.decide(self.clock.now());
         self.carry_out_effects();
     }
 
@@ -258,7 +258,7 @@
     fn exit_if_requested(&mut self) {
         if self.exit == ExitState::Requested {
             self.accept_clients();
-            self.exit = if self.router.may_end() { ExitState::Done } else { ExitState::Running };
+            self.exit = if self.router.may_exit() { ExitState::Done } else { ExitState::Running };
         }
     }
 
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -1,7 +1,7 @@
 //! One non-blocking connection with its buffers. It reports what the system said; what follows from that is
 //! decided elsewhere.
 
-use crate::io::Piece;
+use crate::io::Bytes;
 use crate::protocol::http::MAX_REQUEST_BYTES;
 use calloop::RegistrationToken;
 use rustix::io::Errno;
@@ -87,7 +87,7 @@
     /// What was received and not consumed.
     input: Vec<u8>,
     /// What is to be written, in order.
-    output: VecDeque<Piece>,
+    output: VecDeque<Bytes>,
     /// How many bytes of the first output piece are written.
     piece_offset: usize,
     written_bytes: u64,
@@ -181,7 +181,7 @@
     }
 
     /// Adds pieces to what is to be written.
-    pub(super) fn queue_output(&mut self, pieces: Vec<Piece>) {
+    pub(super) fn queue_output(&mut self, pieces: Vec<Bytes>) {
         self.output.extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
     }
 
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -184,6 +184,6 @@
         // The router closed it with unread bytes: a reset is an end too.
         let _ = first.read_to_end(&mut rest);
         assert_eq!(rest, b"");
-        assert_eq!(router.server.router.desk.counters.attempts_not_sent, 1);
+        assert_eq!(router.server.router.counters().attempts_not_sent, 1);
     }
 }
--- /dev/null
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -0,0 +1,73 @@
+//! Connections to data nodes: which one a batch goes on, what is written and read on them, when they are closed.
+
+mod lifecycle;
+mod receive;
+mod selection;
+mod write;
+
+pub use lifecycle::{NodeReport, close_or_keep_idle, ended};
+pub use receive::next_report;
+pub use selection::{connection_for, queue_batch, reassign_batches};
+pub use write::write;
+
+use crate::io::{ConnectionId, Effect};
+use crate::router::connection::node::{Establishment, HealthCheckKind, OutgoingFrame};
+use crate::router::context::Context;
+use crate::router::query_table::QueryTable;
+use crate::router::timers::Timer;
+use balancer::{AttemptOutcome, NodeId};
+use lifecycle::{close_malformed, finish_health_check};
+
+/// A connection is established.
+pub fn established(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
+    context.connections.node(id).establishment = Establishment::Established { since: context.now };
+    write(context, queries, id);
+    close_or_keep_idle(context, id);
+}
+
+/// Everything handed to the event loop is written.
+pub fn flushed(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
+    let connection = context.connections.node(id);
+    connection.bytes_flushed = connection.bytes_handed_over;
+    write(context, queries, id);
+    close_or_keep_idle(context, id);
+}
+
+/// Sends a health check, if a connection can be had.
+pub fn check_health(context: &mut Context, queries: &mut QueryTable, node: NodeId, kind: HealthCheckKind) {
+    let Some(id) = connection_for(context, queries, node, &[]) else { return };
+    let deadline = context.now + context.limits.connect_timeout;
+    let connection = context.connections.node(id);
+    // No two have the same deadline: a timer stands for one health check.
+    let last_deadline = connection.health_check_deadlines.back();
+    let deadline = last_deadline.map_or(deadline, |last| deadline.max(last + 1));
+    connection.queue.push_back(OutgoingFrame::HealthCheck(kind));
+    connection.health_check_deadlines.push_back(deadline);
+    context.timers.insert(deadline, Timer::HealthCheckTimeout(id));
+    write(context, queries, id);
+}
+
+/// A health check was not answered in time; the connection is closed so that a late answer is not taken for
+/// another's.
+pub fn health_check_timed_out(context: &mut Context, id: ConnectionId) -> Option<NodeReport<'static>> {
+    let report = finish_health_check(context, id, AttemptOutcome::TimedOut, Vec::new());
+    context.effects.push(Effect::Abort(id));
+    report
+}
+
+/// A connection's timer has expired: it was not established in time, a frame did not come in to its end, or it
+/// has been idle for long enough.
+pub fn timer_expired(
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId,
+) -> Vec<NodeReport<'static>> {
+    let connection = context.connections.node(id);
+    if !connection.is_established() {
+        return ended(context, queries, id, 0);
+    }
+    if let Some(partial) = connection.partial_frame {
+        close_malformed(context, id, partial.attempt);
+    } else if connection.idle_since().is_some() {
+        context.close_idle_node(id);
+    }
+    Vec::new()
+}
--- /dev/null
+++ b/crates/query-router/src/router/tests/node_connections.rs
@@ -0,0 +1,120 @@
+//! What comes in on node connections, and when they are closed.
+
+use super::*;
+
+#[test]
+fn a_malformed_response_ends_its_connection_and_counts_for_its_own_attempt() {
+    let named = |line: &str| frame(b'Y', &format!("{line}\nalpha"));
+    let mut huge = named("t1.1 OK 5 -");
+    huge[..4].copy_from_slice(&[0xb2, 0xd0, 0x5e, 0]);
+    let mut letter = named("t1.1 OK 5 -");
+    letter[4] = 1;
+    let named = [huge, letter, named("t1.1 ? 5 -"), named("t1.1  5 -"), named("t1.1 OK 5 -\n\0")];
+    let others = [vec![0, 0, 0, 0, 1], b"xxxxxxxx".to_vec(), vec![0, 0, 0, 4, b'Y', b't', b'.', b'1']];
+    for (bytes, at) in named.into_iter().map(|b| (b, 1)).chain(others.into_iter().map(|b| (b, 0))) {
+        for split in 1..bytes.len() {
+            let mut rig = Rig::new();
+            let client = rig.query("pay", "t1");
+            let (connection, _) = rig.establish_last();
+            rig.step(Event::Received(connection, &bytes[..split]));
+            if !rig.peers.closed.contains(&connection) {
+                rig.step(Event::Received(connection, &bytes));
+            }
+            let counters = rig.router.counters();
+            let ends = (
+                counters.attempts_malformed_response,
+                counters.attempts_cancelled,
+                counters.attempts_connection_lost,
+            );
+            assert_eq!((&rig.peers.closed[..], ends), (&[connection][..], (1, 1, 0)), "{bytes:?}");
+            assert!(
+                split < bytes.len() - 1 || rig.router.state.queries.shard_requests[at].attempts[0].finished
+            );
+            rig.decide();
+            assert!(rig.written(client).starts_with("HTTP/1.1 502"), "it may have run");
+        }
+    }
+}
+
+#[test]
+fn a_connection_that_fell_silent_is_not_reused() {
+    let mut rig = Rig::new();
+    rig.query("look", "t1");
+    let (connection, port) = rig.establish_last();
+    rig.respond(connection, "t1.0 OK 5 -", "alpha");
+    // Only half of the node's other response comes.
+    rig.step(Event::Received(connection, b"\0\0\0\x20Yt1.1 OK 5"));
+    rig.pass(249_000);
+    assert!(!rig.peers.closed.contains(&connection));
+    rig.pass(2_000);
+    assert!(rig.peers.closed.contains(&connection) && rig.router.counters().attempts_malformed_response == 1);
+    // One that has received nothing since an attempt that another overtook is not reused.
+    let node = if port == 71 { 0 } else { 1 };
+    rig.query("look", "t2");
+    let request = rig
+        .router
+        .state
+        .queries
+        .shard_requests
+        .iter()
+        .find(|entry| &*entry.1.id == "t2.0")
+        .expect("a shard request")
+        .0;
+    let (silent, _) = rig.establish_last();
+    rig.router.state.queries.shard_requests[request].value = Some("alpha".into());
+    rig.router.state.cancel_attempt(AttemptId::new(ShardRequestId(request), AttemptNumber(0)));
+    rig.run_effects();
+    let ids = ["t3.0".into()];
+    let other = rig.connection_for(node, &ids);
+    assert!(other.is_some_and(|connection| connection != silent));
+}
+
+#[test]
+fn bytes_behind_a_good_response_harm_no_query() {
+    for behind in ["noise\r\n", "again", "other"] {
+        let mut rig = Rig::new();
+        let client = rig.query("pay", "t1");
+        let (connection, _) = rig.establish_last();
+        rig.respond(connection, "t1.0 OK 5 %%%", "alpha");
+        let good = frame(b'Y', "t1.1 OK 5 =,=\nbeta");
+        let more = match behind {
+            "again" => good.clone(),
+            "other" => frame(b'Y', "t8.1 OK 5 -\nbeta"),
+            noise => noise.as_bytes().to_vec(),
+        };
+        rig.step(Event::Received(connection, &[good, more].concat()));
+        rig.decide();
+        assert!(rig.written(client).starts_with("HTTP/1.1 200"), "{behind}");
+        assert!(rig.peers.closed.contains(&connection) && rig.router.counters().frames_malformed == 0);
+    }
+}
+
+#[test]
+fn an_idle_connection_is_closed_before_the_node_closes_it() {
+    let mut rig = Rig::new();
+    let client = rig.query("look", "t1");
+    let (connection, _) = rig.establish_last();
+    rig.respond(connection, "t1.0 OK 5 -", "alpha");
+    rig.respond(connection, "t1.1 OK 5 -", "beta");
+    rig.decide();
+    rig.step(Event::Ended(client, 0));
+    rig.pass(2_700_000);
+    assert!(!rig.peers.closed.contains(&connection));
+    rig.pass(100_000);
+    assert!(rig.peers.closed.contains(&connection));
+}
+
+#[test]
+fn health_checks_are_reported_and_time_out() {
+    let mut rig = Rig::new();
+    rig.router.state.check_health(NodeId(0));
+    rig.run_effects();
+    let (connection, _) = rig.establish_last();
+    assert_eq!(rig.peers.written[&connection], frames::head(b'G', 0));
+    rig.step(Event::Received(connection, &[0, 0, 0, 3, b'G', b'O', b'K']));
+    rig.router.state.check_health(NodeId(0));
+    rig.run_effects();
+    assert!(rig.router.counters().health_checks_sent == 2 && !rig.peers.closed.contains(&connection));
+    rig.pass(300_000);
+    assert!(rig.peers.closed.contains(&connection));
+}
