--- a/crates/control-plane/src/control.rs
+++ b/crates/control-plane/src/control.rs
@@ -14,7 +14,7 @@
 use balancer::{EndpointUpdate, Micros};
 use query_router::config::Config;
 use serde_json::Value as Json;
-use settings_schema::ids::Ids;
+use settings_schema::IdInterner;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -99,7 +99,7 @@
     departures: Departures,
     loads: Loads,
     streams: BTreeMap<Stream, Open>,
-    names: Ids<String>,
+    names: IdInterner<String>,
     proxies: BTreeMap<Proxy, Holder>,
     started: Micros,
     /// A proxy came with what an earlier control service handed out, so that others may too.
@@ -129,7 +129,7 @@
             departures: Departures::default(),
             loads: Loads::default(),
             streams: BTreeMap::new(),
-            names: Ids::default(),
+            names: IdInterner::default(),
             proxies: BTreeMap::new(),
             started: now,
             inherits: false,
@@ -396,7 +396,7 @@
             return None;
         }
         let zone = self.fleet.zones.iter().position(|known| known == zone).unwrap_or(self.fleet.zones.len());
-        let proxy = known.unwrap_or_else(|| self.names.take(id.to_string()));
+        let proxy = known.unwrap_or_else(|| self.names.intern(id.to_string()));
         if let Some(open) = self.streams.get_mut(&stream) {
             open.proxy = Some(proxy);
         }
--- a/crates/control-plane/src/fleet.rs
+++ b/crates/control-plane/src/fleet.rs
@@ -7,8 +7,8 @@
 };
 use query_router::config::{Config, numbered};
 use serde_json::Value as Json;
-use settings_schema::ids::Ids;
-use settings_schema::names::EndpointEntry;
+use settings_schema::EndpointEntry;
+use settings_schema::IdInterner;
 use std::net::SocketAddr;
 
 /// The index of a data node.
@@ -48,7 +48,7 @@
 
 pub struct Fleet {
     balance: Balancer,
-    ids: Ids<String>,
+    ids: IdInterner<String>,
     places: Vec<Place>,
     pub zones: Vec<String>,
     /// A list that named a node came from discovery, or from before the start.
@@ -72,7 +72,7 @@
     pub fn new(config: &Config) -> Fleet {
         Fleet {
             balance: Balancer::new(config.seed, config.settings.clone()),
-            ids: Ids::default(),
+            ids: IdInterner::default(),
             places: Vec::new(),
             zones: numbered(&config.settings, "zone"),
             told: false,
@@ -92,7 +92,7 @@
                 self.unusable += 1;
                 continue;
             };
-            let node = self.ids.take(entry.id.to_string());
+            let node = self.ids.intern(entry.id.to_string());
             let zone = self.zones.iter().position(|known| known == entry.zone).unwrap_or(self.zones.len());
             if self.places.len() <= node {
                 self.places.resize(node + 1, Place::default());
--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -5,7 +5,7 @@
 
 use balancer::{Micros, Settings};
 use serde_json::Value as Json;
-use settings_schema::names;
+use settings_schema::parse_settings;
 use std::net::SocketAddr;
 
 #[derive(Debug)]
@@ -48,7 +48,7 @@
             let address = text(name)?;
             address.parse().map_err(|_| format!("{}: '{address}' is not an address with a port", &name[1..]))
         };
-        let settings = names::settings(field("/settings")?).map_err(|e| format!("settings: {e}"))?;
+        let settings = parse_settings(field("/settings")?).map_err(|e| format!("settings: {e}"))?;
         let seed = text("/seed")?;
         let known = field("/known")?.clone();
         if !known["members"].is_array() {
--- a/crates/query-router/src/discovery.rs
+++ b/crates/query-router/src/discovery.rs
@@ -8,8 +8,8 @@
 use crate::scatter::Place;
 use balancer::{Endpoint, EndpointState, EndpointUpdate, Events, Micros, NodeId};
 use serde_json::Value as Json;
-use settings_schema::ids::Ids;
-use settings_schema::names::EndpointEntry;
+use settings_schema::EndpointEntry;
+use settings_schema::IdInterner;
 use std::net::SocketAddr;
 
 /// How often discovery says at least an empty line.
@@ -48,7 +48,7 @@
     rng: fastrand::Rng,
     /// The module is to ask for the list; else the router watches all the time.
     asked: bool,
-    pub nodes: Ids<String>,
+    pub nodes: IdInterner<String>,
     zones: Vec<String>,
     lists: u64,
     /// Calls that failed for want of a socket, which the module has not heard of yet.
@@ -71,7 +71,7 @@
             least,
             rng: fastrand::Rng::with_seed(!config.seed),
             asked: config.settings.text("discovery.mode") == "polled",
-            nodes: Ids::default(),
+            nodes: IdInterner::default(),
             zones: numbered(&config.settings, "zone"),
             lists: 0,
             unheard: 0,
@@ -366,7 +366,7 @@
             };
             let zones = &desk.discovery.zones;
             let zone = zones.iter().position(|known| known == entry.zone).unwrap_or(zones.len());
-            let node = desk.discovery.nodes.take(entry.id.to_string());
+            let node = desk.discovery.nodes.intern(entry.id.to_string());
             let places = &mut desk.scatter.nodes;
             if places.len() <= node {
                 places.resize(node + 1, Place::default());
--- a/crates/query-router/src/links.rs
+++ b/crates/query-router/src/links.rs
@@ -5,7 +5,7 @@
 use crate::reducer::{Alarm, Desk, Kind, Peer, Router};
 use crate::scatter::Place;
 use balancer::{AttemptOutcome, Events, HealthCheckEnd, LoadMetric, Micros, NodeId};
-use settings_schema::names;
+use settings_schema::parse_load_metrics;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -483,7 +483,8 @@
                 if outcome == AttemptOutcome::Succeeded {
                     self.desk.gather.parts[part].value.get_or_insert_with(|| value.to_string());
                 }
-                let load = std::str::from_utf8(report).ok().and_then(|report| names::load(report, '='));
+                let load =
+                    std::str::from_utf8(report).ok().and_then(|report| parse_load_metrics(report, '='));
                 self.shot_ended(part, trial, outcome, &load.unwrap_or_default());
                 true
             }
@@ -492,7 +493,7 @@
                 let outcome =
                     if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
                 let report = if matches!(text, "OK" | "ERROR" | "-") { "" } else { text };
-                self.probe_ended(conn, outcome, &names::load(report, '=').unwrap_or_default());
+                self.probe_ended(conn, outcome, &parse_load_metrics(report, '=').unwrap_or_default());
                 true
             }
             b'N' => {
--- /dev/null
+++ b/crates/settings-schema/src/endpoints/tests.rs
@@ -0,0 +1,38 @@
+use super::*;
+use serde_json::json;
+
+#[test]
+fn an_entry_is_read_with_its_start_in_microseconds() {
+    let entry = json!({"id": "a", "host_port": "127.0.0.1:9001", "locality": "z", "cell": 2, "phase": "draining",
+        "size": 0.5, "up_since_ms": 3});
+    let expected = EndpointEntry {
+        id: "a",
+        address: "127.0.0.1:9001",
+        zone: "z",
+        replica_set: 2,
+        state: EndpointState::Draining,
+        scale: 0.5,
+        started_at: 3000,
+    };
+    assert_eq!(EndpointEntry::parse(&entry), Some(expected));
+}
+
+#[test]
+fn what_an_entry_may_omit_has_a_default() {
+    let entry = json!({"id": "a", "cell": 0, "phase": "ready"});
+    let entry = EndpointEntry::parse(&entry).expect("an entry");
+    assert_eq!((entry.address, entry.zone, entry.scale, entry.started_at), ("", "", 1.0, 0));
+}
+
+#[test]
+fn an_entry_without_id_replica_set_or_known_state_is_not_read() {
+    for entry in [
+        json!({"cell": 0, "phase": "ready"}),
+        json!({"id": "", "cell": 0, "phase": "ready"}),
+        json!({"id": "a", "phase": "ready"}),
+        json!({"id": "a", "cell": -1, "phase": "ready"}),
+        json!({"id": "a", "cell": 0, "phase": "new"}),
+    ] {
+        assert_eq!(EndpointEntry::parse(&entry), None, "{entry}");
+    }
+}
--- a/crates/settings-schema/src/lib.rs
+++ b/crates/settings-schema/src/lib.rs
@@ -1,4 +1,15 @@
-//! What the fronts of yewpier say alike: the settings' names, load reports, and small indices for ids.
+//! What the query router, the control plane and the simulator adapter share: the translation of the platform's
+//! settings, load reports and endpoint lists to typed values, and small indices for ids.
 
-pub mod ids;
-pub mod names;
+#![warn(missing_docs)]
+
+mod endpoints;
+mod ids;
+mod load;
+mod settings;
+mod terms;
+
+pub use endpoints::{EndpointEntry, endpoint_state};
+pub use ids::IdInterner;
+pub use load::parse_load_metrics;
+pub use settings::{SettingsError, parse_settings};
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -9,8 +9,8 @@
 };
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use settings_schema::ids::Ids;
-use settings_schema::names;
+use settings_schema::IdInterner;
+use settings_schema::{parse_load_metrics, parse_settings};
 use std::collections::HashMap;
 use std::io::Write;
 
@@ -20,8 +20,8 @@
 pub struct Instance {
     name: String,
     router: Balancer,
-    ops: Ids<u64>,
-    nodes: Ids<String>,
+    ops: IdInterner<u64>,
+    nodes: IdInterner<String>,
     /// The retrieval of each query number, and by retrieval its number and parts.
     queries: HashMap<u64, usize>,
     members: Vec<(u64, Vec<usize>)>,
@@ -30,8 +30,8 @@
 /// What a batch's events made the module do, as lines of the reply.
 struct Reply<'a> {
     name: &'a str,
-    ops: &'a Ids<u64>,
-    nodes: &'a Ids<String>,
+    ops: &'a IdInterner<u64>,
+    nodes: &'a IdInterner<String>,
     over: Vec<usize>,
     left: Vec<usize>,
     out: &'a mut Vec<u8>,
@@ -126,13 +126,14 @@
     pub fn new(name: &str, line: &Line) -> Result<Self, String> {
         let seed = line.need::<i128>("nonce64")? as u64;
         let json = serde_json::from_str(line.text("bootInfo")?).map_err(|e| e.to_string());
-        let settings =
-            json.and_then(|json| names::settings(&json)).map_err(|e| line.wrong("bootInfo", &e))?;
+        let settings = json
+            .and_then(|json| parse_settings(&json).map_err(|e| e.to_string()))
+            .map_err(|e| line.wrong("bootInfo", &e))?;
         Ok(Instance {
             name: name.to_string(),
             router: Balancer::new(seed, settings),
-            ops: Ids::default(),
-            nodes: Ids::default(),
+            ops: IdInterner::default(),
+            nodes: IdInterner::default(),
             queries: HashMap::new(),
             members: Vec::new(),
         })
@@ -149,7 +150,7 @@
     pub fn members(&mut self, now: Micros, how: EndpointUpdate, rows: &[Row], out: &mut Vec<u8>) {
         self.router.endpoint_update_started(now, how);
         for (node, zone, cell, phase, scale, up_since) in rows {
-            let node = self.nodes.take(node.clone());
+            let node = self.nodes.intern(node.clone());
             self.router.endpoint_listed(
                 now,
                 &Endpoint {
@@ -234,7 +235,7 @@
 
     fn gauge<'a>(&self, line: &Line<'a>) -> Result<Vec<LoadMetric<'a>>, String> {
         let text = line.maybe("gauge").unwrap_or("");
-        names::load(text, ':')
+        parse_load_metrics(text, ':')
             .ok_or_else(|| line.wrong("gauge", &format!("'{text}' is not pairs of name:number")))
     }
 
@@ -248,7 +249,7 @@
         line.flag("mutates")?;
         if let Ok(shard) = usize::try_from(shard) {
             let Some(&retrieval) = self.queries.get(&query) else { return Ok(()) };
-            let part = self.ops.take(id);
+            let part = self.ops.intern(id);
             self.members[retrieval].1.push(part);
             self.router.shard_request_arrived(
                 now,
@@ -261,7 +262,7 @@
                 },
             );
         } else {
-            let retrieval = self.ops.take(id);
+            let retrieval = self.ops.intern(id);
             if self.members.len() <= retrieval {
                 self.members.resize_with(retrieval + 1, Default::default);
             }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -8,7 +8,7 @@
 use balancer::EndpointUpdate;
 use instance::{Instance, Row};
 use line::Line;
-use settings_schema::names;
+use settings_schema::endpoint_state;
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
@@ -36,7 +36,7 @@
                 line.text("node")?.to_string(),
                 line.or("campus", 0)?,
                 line.or("position", 0)?,
-                line.code("phase", names::endpoint_state)?,
+                line.code("phase", endpoint_state)?,
                 line.or("scale", 1.0)?,
                 line.micros_or_zero("upSinceNs")?,
             );
