--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -16,10 +16,10 @@
 
 impl Check {
     pub fn run(self) -> Result<(), String> {
-        let mut file = operator(self.operator)?;
-        file.log_format()?;
-        Options::read(&mut file.section("control"))?;
-        file.all_known()?;
+        let mut file = operator(self.operator).map_err(|error| error.to_string())?;
+        file.log_format().map_err(|error| error.to_string())?;
+        Options::read(&mut file.section("control")).map_err(|error| error.to_string())?;
+        file.reject_unknown().map_err(|error| error.to_string())?;
         println!("{}: fit to serve", platform(self.config)?.0.name);
         Ok(())
     }
--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -26,10 +26,10 @@
 
 impl Control {
     pub fn run(self) -> Result<(), String> {
-        let mut file = operator(self.operator)?;
-        log_to_stderr(&mut file)?;
-        let options = Options::read(&mut file.section("control"))?;
-        file.all_known()?;
+        let mut file = operator(self.operator).map_err(|error| error.to_string())?;
+        log_to_stderr(&mut file).map_err(|error| error.to_string())?;
+        let options = Options::read(&mut file.section("control")).map_err(|error| error.to_string())?;
+        file.reject_unknown().map_err(|error| error.to_string())?;
         let (config, path) = platform(self.config)?;
         if !self.dump {
             return serve(config, path, options);
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -7,7 +7,7 @@
 mod version;
 
 use argh::FromArgs;
-use operator_config::{File, LogFormat};
+use operator_config::{ConfigError, ConfigFile, LogFormat};
 use query_router::config::Config;
 use std::process::ExitCode;
 
@@ -35,15 +35,15 @@
 }
 
 /// The operator's file: as stated, else where $YEWPIER_OPERATOR says, else one in which all is off.
-fn operator(path: Option<String>) -> Result<File, String> {
+fn operator(path: Option<String>) -> Result<ConfigFile, ConfigError> {
     match path.or_else(|| std::env::var("YEWPIER_OPERATOR").ok()) {
-        Some(path) => File::read(&path),
-        None => File::parse("no operator's file", ""),
+        Some(path) => ConfigFile::read(&path),
+        None => ConfigFile::parse("no operator's file", ""),
     }
 }
 
 /// Log lines go to standard error, in the form that the operator's file states.
-fn log_to_stderr(file: &mut File) -> Result<(), String> {
+fn log_to_stderr(file: &mut ConfigFile) -> Result<(), ConfigError> {
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false);
     match file.log_format()? {
         LogFormat::Text => log.without_time().init(),
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -16,7 +16,8 @@
 impl Serve {
     pub fn run(self) -> Result<(), String> {
         let signals = query_router::heed_signals()?;
-        log_to_stderr(&mut operator(self.operator)?)?;
+        let mut file = operator(self.operator).map_err(|error| error.to_string())?;
+        log_to_stderr(&mut file).map_err(|error| error.to_string())?;
         let (config, path) = platform(self.config)?;
         query_router::serve(signals, config, path)
     }
--- a/crates/control-plane/src/options.rs
+++ b/crates/control-plane/src/options.rs
@@ -1,7 +1,7 @@
 //! What the operator's file says of the control service, section `[control]`.
 
 use balancer::Micros;
-use operator_config::Section;
+use operator_config::{ConfigError, Section};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -34,12 +34,12 @@
 }
 
 impl Options {
-    pub fn read(of: &mut Section) -> Result<Options, String> {
+    pub fn read(of: &mut Section) -> Result<Options, ConfigError> {
         let seconds = Duration::from_secs;
         let mut time = |key: &str, absent: Duration, least: Duration| {
             let value = of.duration(key, absent)?;
             if value < least && !(value.is_zero() && absent.is_zero()) {
-                return Err(of.wrong(key, &format!("under {least:?}")));
+                return Err(of.rejected(key, format!("under {least:?}")));
             }
             Ok(micros(value))
         };
@@ -49,7 +49,7 @@
         let report_every = time("report_every", seconds(1), Duration::from_millis(100))?;
         let probe_every = time("probe_every", Duration::ZERO, Duration::from_millis(100))?;
         let whole = "a whole number";
-        let files = ["certificate", "key", "authority"].map(|key| (key, of.taken(key)));
+        let files = ["certificate", "key", "authority"].map(|key| (key, of.take(key)));
         let tls = match &files {
             [(_, Some(certificate)), (_, Some(key)), (_, Some(authority))] => {
                 Some([certificate.clone(), key.clone(), authority.clone()])
@@ -58,7 +58,7 @@
                 Some((given, _)) => {
                     let lacks = files.iter().filter(|(_, file)| file.is_none()).map(|(key, _)| *key);
                     let lacks: Vec<&str> = lacks.collect();
-                    return Err(of.wrong(given, &format!("it wants {} too", lacks.join(" and "))));
+                    return Err(of.rejected(given, format!("it wants {} too", lacks.join(" and "))));
                 }
                 None => None,
             },
@@ -82,16 +82,15 @@
             probe_every,
         };
         if options.instances == 0 {
-            return Err(of.wrong("instances", "under 1"));
+            return Err(of.rejected("instances", "under 1"));
         }
         if options.service.is_empty() || options.service.contains(['/', '?', '#', ' ']) {
-            return Err(of.wrong("service", "not a name that stands in a target URI as it is"));
+            return Err(of.rejected("service", "not a name that stands in a target URI as it is"));
         }
         match options.listen {
-            Some(at) if options.tls.is_none() && !at.ip().is_loopback() => {
-                Err(of
-                    .wrong("listen", &format!("{at} is not a loopback address, and there is no certificate")))
-            }
+            Some(at) if options.tls.is_none() && !at.ip().is_loopback() => Err(
+                of.rejected("listen", format!("{at} is not a loopback address, and there is no certificate"))
+            ),
             _ => Ok(options),
         }
     }
@@ -100,7 +99,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use operator_config::File;
+    use operator_config::ConfigFile;
 
     #[test]
     fn what_the_section_lacks_is_named() {
@@ -112,18 +111,18 @@
             ("instances = 0", "f:2: [control] instances: under 1"),
             ("service = a/b", "f:2: [control] service: not a name"),
         ] {
-            let mut file = File::parse("f", &format!("[control]\n{text}\n")).expect("INI");
-            let error = Options::read(&mut file.section("control")).expect_err(text);
+            let mut file = ConfigFile::parse("f", &format!("[control]\n{text}\n")).expect("INI");
+            let error = Options::read(&mut file.section("control")).expect_err(text).to_string();
             assert!(error.starts_with(why), "{error}");
         }
     }
 
     #[test]
     fn all_is_off_unless_it_is_set() {
-        let mut file = File::parse("f", "[control]\nlisten = 127.0.0.1:0\nlease = 2s\n").expect("INI");
+        let mut file = ConfigFile::parse("f", "[control]\nlisten = 127.0.0.1:0\nlease = 2s\n").expect("INI");
         let options = Options::read(&mut file.section("control")).expect("fit");
         assert_eq!((options.listen.is_some(), options.lease, options.probe_every), (true, 2_000_000, 0));
-        let mut file = File::parse("f", "").expect("INI");
+        let mut file = ConfigFile::parse("f", "").expect("INI");
         assert_eq!(Options::read(&mut file.section("control")).expect("fit").listen, None);
     }
 }
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -4,7 +4,7 @@
 
 use balancer::{EndpointUpdate, Micros};
 use control_plane::{Control, Effect, Mode, Options, Response, Service, Stream, TICK};
-use operator_config::File;
+use operator_config::ConfigFile;
 use query_router::config::Config;
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, VecDeque};
@@ -60,7 +60,7 @@
 }
 
 pub fn options(text: &str) -> Options {
-    let mut file = File::parse("test", &format!("[control]\n{text}\n")).expect("INI");
+    let mut file = ConfigFile::parse("test", &format!("[control]\n{text}\n")).expect("INI");
     Options::read(&mut file.section("control")).expect("fit")
 }
 
