--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -7,7 +7,8 @@
 pub struct KeyLocation {
     /// The file's name.
     pub file: String,
-    /// The line, counted from 1. For a key that the file lacks: the line of its section, or 1 without that section.
+    /// The line, counted from 1. For a key that the file lacks: the line of its section, or 1 without that
+    /// section.
     pub line: usize,
     /// The section's name.
     pub section: String,
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,4 +1,4 @@
-//! The file as a whole: its sections and their keys.
+//! The file: its sections and their keys.
 
 #[cfg(test)]
 mod tests;
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Reports the first key that no subsystem has taken, or a section without keys that no subsystem has. Call it after
-    /// every subsystem has taken its keys.
+    /// Reports the first key that no subsystem has taken, or a section without keys that no subsystem has.
+    /// Call it after every subsystem has taken its keys.
     pub fn reject_unknown(&self) -> Result<(), ConfigError> {
         if let Some(location) = self.first_key_not_taken() {
             return Err(ConfigError::UnknownKey(location));
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration file: INI, one section per subsystem. Whatever the file does not set is off or has its
-//! default.
+//! The operator's configuration file: INI, one section per subsystem. Whatever the file does not set is off
+//! or has its default.
 //!
 //! A subsystem takes the keys of its section one by one. A key that no subsystem has taken is unknown, which
 //! [`ConfigFile::reject_unknown`] reports. Each error names the file, the line, the section and the key.
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -62,8 +62,8 @@
         Ok(self.take(key).unwrap_or_else(|| default.to_string()))
     }
 
-    /// The value of `key` as [`FromStr`] reads it, such as a number or an address, or `default`; `expected` names what
-    /// it should be.
+    /// The value of `key` as [`FromStr`] reads it, such as a number or an address, or `default`; `expected`
+    /// names what it should be.
     pub fn parsed<T: FromStr>(
         &mut self, key: &str, default: T, expected: &'static str,
     ) -> Result<T, ConfigError> {
--- a/crates/settings-schema/src/lib.rs
+++ b/crates/settings-schema/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the query router, the control plane and the simulator adapter share: the translation of the platform's
-//! settings, load reports and endpoint lists to typed values, and small indices for ids.
+//! What the query router, the control plane and the simulator adapter share: the translation of the
+//! platform's settings, load reports and endpoint lists to typed values, and small indices for ids.
 
 #![warn(missing_docs)]
 
--- a/crates/settings-schema/src/load.rs
+++ b/crates/settings-schema/src/load.rs
@@ -6,8 +6,8 @@
 use crate::terms;
 use balancer::LoadMetric;
 
-/// Reads a load report: pairs of a name and a number, separated by commas, with `separator` between name and number.
-/// The names are translated. `None` if a pair has no separator or its value is not a finite number.
+/// Reads a load report: pairs of a name and a number, separated by commas, with `separator` between name and
+/// number. The names are translated. `None` if a pair has no separator or its value is not a finite number.
 pub fn parse_load_metrics(report: &str, separator: char) -> Option<Vec<LoadMetric<'_>>> {
     let pairs = report.split(',').filter(|pair| !pair.is_empty());
     pairs.map(|pair| parse_load_metric(pair, separator)).collect()
--- a/crates/settings-schema/src/settings.rs
+++ b/crates/settings-schema/src/settings.rs
@@ -1,7 +1,7 @@
 //! Translates the platform's settings, a JSON object, to the balancer's map of names and values.
 //!
-//! The path of a setting is made of the object keys that lead to it, joined by dots; `#` stands for an index in an
-//! array, in the platform's paths and in the balancer's names alike.
+//! The path of a setting is made of the object keys that lead to it, joined by dots; `#` stands for an index
+//! in an array, in the platform's paths and in the balancer's names alike.
 
 #[cfg(test)]
 mod tests;
