--- a/crates/test-servers/src/discovery.rs
+++ b/crates/test-servers/src/discovery.rs
@@ -1,164 +1,130 @@
-//! Discovery over HTTP/1.1: the whole list, and watches that are told of each change at once.
+//! Discovery over HTTP/1.1: the full endpoint list, and watches that get each change at once.
+
+mod connection;
 
 use serde_json::{Value as Json, json};
 use std::collections::BTreeMap;
-use std::io::{BufRead, BufReader, Write};
-use std::net::{SocketAddr, TcpStream};
-use std::sync::{Arc, Condvar, Mutex};
-use std::time::Duration;
+use std::net::SocketAddr;
+use std::sync::{Arc, Condvar, Mutex, MutexGuard};
+
+/// A discovery server; clones share its state.
+#[derive(Clone)]
+pub struct Discovery {
+    /// Where it listens.
+    pub at: SocketAddr,
+    shared: Arc<Shared>,
+}
 
-/// How often a watch says an empty line while nothing changes.
-const EMPTY_LINES: Duration = Duration::from_secs(2);
+/// What the handle and the connections share.
+#[derive(Default)]
+struct Shared {
+    state: Mutex<State>,
+    /// Notified of each change of the state.
+    changed: Condvar,
+}
 
 #[derive(Default)]
 struct State {
     revision: u64,
+    /// The endpoint list by id.
     members: BTreeMap<String, Json>,
-    /// What changed, by revision; the changes of one revision are told in one line.
-    changes: Vec<(u64, Vec<Json>)>,
-    /// Calls fail and watches end for as long as it is down.
-    down: bool,
-    calls: u64,
-    /// How many objects were written to watches.
-    told: u64,
+    /// The updates since the list was last replaced, in order.
+    updates: Vec<Update>,
+    /// Requests fail and watches end for as long as it is down.
+    is_down: bool,
+    requests: u64,
+    /// How many updates were written to watches.
+    updates_sent: u64,
 }
 
+/// The entries that changed at a revision.
 #[derive(Clone)]
-pub struct Discovery {
-    pub at: SocketAddr,
-    shared: Arc<(Mutex<State>, Condvar)>,
+struct Update {
+    revision: u64,
+    members: Vec<Json>,
 }
 
-/// An entry of the list.
-pub fn member(id: &str, at: &str, zone: &str, cell: usize, phase: &str, up_since_ms: i64) -> Json {
-    json!({"id": id, "host_port": at, "locality": zone, "cell": cell, "phase": phase, "size": 1.0,
+/// An entry of the endpoint list.
+pub fn member(id: &str, at: &str, zone: &str, replica_set: usize, phase: &str, up_since_ms: i64) -> Json {
+    json!({"id": id, "host_port": at, "locality": zone, "cell": replica_set, "phase": phase, "size": 1.0,
         "up_since_ms": up_since_ms})
 }
 
+fn id_of(member: &Json) -> String {
+    member["id"].as_str().expect("an id").to_string()
+}
+
+fn by_id(members: Vec<Json>) -> BTreeMap<String, Json> {
+    members.into_iter().map(|member| (id_of(&member), member)).collect()
+}
+
+impl Shared {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("a lock")
+    }
+
+    fn edit(&self, change: impl FnOnce(&mut State)) {
+        change(&mut self.lock());
+        self.changed.notify_all();
+    }
+}
+
 impl Discovery {
-    /// Begins at a revision with a list.
+    /// Starts at a revision with an endpoint list.
     pub fn start(revision: u64, members: Vec<Json>) -> Discovery {
-        let shared: Arc<(Mutex<State>, Condvar)> = Arc::default();
-        shared.0.lock().expect("a lock").revision = revision;
-        let serving = shared.clone();
+        let state = State { revision, members: by_id(members), ..State::default() };
+        let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
+        let served = shared.clone();
         let at = crate::listen(move |stream| {
-            let _ = serve(stream, &serving);
+            // A client may close its connection at any time.
+            let _ = connection::serve(stream, &served);
         });
-        let discovery = Discovery { at, shared };
-        discovery.edit(|state| state.members = by_id(members));
-        discovery
-    }
-
-    fn edit<T>(&self, change: impl FnOnce(&mut State) -> T) -> T {
-        let done = change(&mut self.shared.0.lock().expect("a lock"));
-        self.shared.1.notify_all();
-        done
+        Discovery { at, shared }
     }
 
-    /// Tells changes in one line; an entry whose phase is `gone` leaves the list.
-    pub fn tell(&self, changed: Vec<Json>) {
-        self.edit(|state| {
+    /// Publishes changed entries in one update; an entry whose phase is `gone` is removed from the list.
+    pub fn publish(&self, changed: Vec<Json>) {
+        self.shared.edit(|state| {
             state.revision += 1;
-            for entry in &changed {
-                let id = entry["id"].as_str().expect("an id").to_string();
-                match entry["phase"].as_str() {
-                    Some("gone") => drop(state.members.remove(&id)),
-                    _ => drop(state.members.insert(id, entry.clone())),
+            for member in &changed {
+                let id = id_of(member);
+                if member["phase"] == "gone" {
+                    state.members.remove(&id);
+                } else {
+                    state.members.insert(id, member.clone());
                 }
             }
-            let revision = state.revision;
-            state.changes.push((revision, changed));
+            state.updates.push(Update { revision: state.revision, members: changed });
         });
     }
 
-    /// Puts another list in place of the present one; watches learn of it when they begin anew.
+    /// Replaces the endpoint list; watches learn of it when they begin anew.
     pub fn replace(&self, members: Vec<Json>) {
-        self.edit(|state| {
+        self.shared.edit(|state| {
             state.revision += 1;
             state.members = by_id(members);
-            state.changes.clear();
+            state.updates.clear();
         });
     }
 
-    /// While it is down calls are answered 503 and watches end.
-    pub fn set_down(&self, down: bool) {
-        self.edit(|state| state.down = down);
-    }
-
-    /// How many objects were written to watches.
-    pub fn told(&self) -> u64 {
-        self.edit(|state| state.told)
+    /// While it is down requests are answered with 503 and watches end.
+    pub fn set_down(&self, is_down: bool) {
+        self.shared.edit(|state| state.is_down = is_down);
     }
 
-    /// Waits until so many objects were written.
-    pub fn wait_told(&self, count: u64) {
-        let state = self.shared.0.lock().expect("a lock");
-        drop(self.shared.1.wait_while(state, |state| state.told < count).expect("a lock"));
+    /// How many updates were written to watches.
+    pub fn updates_sent(&self) -> u64 {
+        self.shared.lock().updates_sent
     }
 
-    /// How many calls were taken, those that failed included.
-    pub fn calls(&self) -> u64 {
-        self.edit(|state| state.calls)
+    /// Waits until so many updates were written to watches.
+    pub fn wait_for_updates_sent(&self, count: u64) {
+        let too_few = |state: &mut State| state.updates_sent < count;
+        drop(self.shared.changed.wait_while(self.shared.lock(), too_few).expect("a lock"));
     }
-}
-
-fn by_id(members: Vec<Json>) -> BTreeMap<String, Json> {
-    let id = |entry: &Json| entry["id"].as_str().expect("an id").to_string();
-    members.into_iter().map(|entry| (id(&entry), entry)).collect()
-}
 
-fn serve(stream: TcpStream, (state, changed): &(Mutex<State>, Condvar)) -> std::io::Result<()> {
-    let mut lines = BufReader::new(stream.try_clone()?).lines();
-    let request = lines.next().unwrap_or(Ok(String::new()))?;
-    let mut to = stream;
-    let mut held = state.lock().expect("a lock");
-    held.calls += 1;
-    if held.down {
-        return write!(to, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
-    }
-    let whole = |state: &State| {
-        let members: Vec<&Json> = state.members.values().collect();
-        json!({"revision": state.revision, "complete": true, "members": members}).to_string() + "\n"
-    };
-    let Some(after) = request.split("after=").nth(1).and_then(|rest| rest.split(' ').next()) else {
-        let body = whole(&held);
-        return write!(
-            to,
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n{body}",
-            body.len()
-        );
-    };
-    write!(to, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
-    // What changed since, where that is still known; else the whole list.
-    let mut told = after.parse::<u64>().unwrap_or(0);
-    let oldest = held.changes.first().map_or(held.revision, |change| change.0 - 1);
-    if told < oldest || told == 0 {
-        let line = whole(&held);
-        told = held.revision;
-        write!(to, "{:x}\r\n{line}\r\n", line.len())?;
-    }
-    loop {
-        let news: Vec<_> = held.changes.iter().filter(|change| change.0 > told).cloned().collect();
-        let (quiet, down) = (news.is_empty(), held.down);
-        drop(held);
-        if down {
-            return Ok(());
-        }
-        for (revision, members) in news {
-            told = revision;
-            let line =
-                json!({"revision": revision, "complete": false, "members": members}).to_string() + "\n";
-            write!(to, "{:x}\r\n{line}\r\n", line.len())?;
-            state.lock().expect("a lock").told += 1;
-            changed.notify_all();
-        }
-        held = state.lock().expect("a lock");
-        if quiet && held.changes.last().is_none_or(|change| change.0 <= told) && !held.down {
-            let (woken, waited) = changed.wait_timeout(held, EMPTY_LINES).expect("a lock");
-            held = woken;
-            if waited.timed_out() {
-                write!(to, "1\r\n\n\r\n")?;
-            }
-        }
+    /// How many requests were accepted, including those that failed.
+    pub fn requests(&self) -> u64 {
+        self.shared.lock().requests
     }
 }
--- /dev/null
+++ b/crates/test-servers/src/discovery/connection.rs
@@ -0,0 +1,110 @@
+//! One connection to the discovery server, for one request.
+
+use super::{Shared, State, Update};
+use serde_json::{Value as Json, json};
+use std::io::{self, BufRead, BufReader, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+
+/// How often a watch gets an empty line while nothing changes.
+const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
+
+/// Reads one request and answers it.
+pub(super) fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
+    let mut lines = BufReader::new(stream.try_clone()?).lines();
+    let request = lines.next().unwrap_or(Ok(String::new()))?;
+    let mut state = shared.lock();
+    state.requests += 1;
+    if state.is_down {
+        return write!(stream, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
+    }
+    let Some(revision) = watched_revision(&request) else {
+        let body = full_list(&state);
+        let length = body.len();
+        return write!(
+            stream,
+            "HTTP/1.1 200 OK\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n{body}"
+        );
+    };
+    drop(state);
+    Watch { stream, shared, revision }.run()
+}
+
+/// The revision after which a request wants updates; `None` if it wants the full list once. A revision that
+/// cannot be parsed counts as 0.
+fn watched_revision(request: &str) -> Option<u64> {
+    let after = request.split("after=").nth(1)?.split(' ').next()?;
+    Some(after.parse().unwrap_or(0))
+}
+
+fn full_list(state: &State) -> String {
+    let members: Vec<&Json> = state.members.values().collect();
+    json!({"revision": state.revision, "complete": true, "members": members}).to_string() + "\n"
+}
+
+/// A watch that gets each update as a line in a chunk of its own.
+struct Watch<'a> {
+    stream: TcpStream,
+    shared: &'a Shared,
+    /// The revision that the client has.
+    revision: u64,
+}
+
+impl Watch<'_> {
+    fn run(mut self) -> io::Result<()> {
+        write!(self.stream, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")?;
+        self.send_list_if_updates_are_missing()?;
+        loop {
+            let Some(updates) = self.next_updates() else { return Ok(()) };
+            if updates.is_empty() {
+                self.write_chunk("\n")?;
+            }
+            for update in updates {
+                self.send_update(&update)?;
+            }
+        }
+    }
+
+    /// Sends the full list to a client that has none, or one that is older than the first update.
+    fn send_list_if_updates_are_missing(&mut self) -> io::Result<()> {
+        let state = self.shared.lock();
+        let oldest = state.updates.first().map_or(state.revision, |update| update.revision - 1);
+        if self.revision >= oldest && self.revision != 0 {
+            return Ok(());
+        }
+        let (line, revision) = (full_list(&state), state.revision);
+        drop(state);
+        self.revision = revision;
+        self.write_chunk(&line)
+    }
+
+    /// Waits for updates that the client does not have; empty if none came in time, `None` once the server is
+    /// down.
+    fn next_updates(&self) -> Option<Vec<Update>> {
+        let is_idle = |state: &mut State| {
+            !state.is_down && state.updates.last().is_none_or(|update| update.revision <= self.revision)
+        };
+        let (state, _) = self
+            .shared
+            .changed
+            .wait_timeout_while(self.shared.lock(), EMPTY_LINE_INTERVAL, is_idle)
+            .expect("a lock");
+        if state.is_down {
+            return None;
+        }
+        Some(state.updates.iter().filter(|update| update.revision > self.revision).cloned().collect())
+    }
+
+    fn send_update(&mut self, update: &Update) -> io::Result<()> {
+        let Update { revision, members } = update;
+        let line = json!({"revision": revision, "complete": false, "members": members}).to_string() + "\n";
+        self.write_chunk(&line)?;
+        self.revision = *revision;
+        self.shared.edit(|state| state.updates_sent += 1);
+        Ok(())
+    }
+
+    fn write_chunk(&mut self, text: &str) -> io::Result<()> {
+        write!(self.stream, "{:x}\r\n{text}\r\n", text.len())
+    }
+}
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,27 +1,26 @@
-//! Stand-ins for what yewpier talks with, written from the pages that describe it. Each listens on loopback at a
-//! port that the system gives, serves each connection on a thread, and is scripted by plain values.
+//! Servers and clients for tests, written from the documents that describe the real ones. Each server listens
+//! on loopback at a port that the system chooses and serves each connection on a thread. All are scripted by
+//! plain values.
 
+#![warn(missing_docs)]
+
+mod data_node;
 mod discovery;
-mod node;
-mod subscriber;
-mod xds;
+mod listener;
+mod load_reporter;
+mod proxy;
+mod proxy_view;
+mod resources;
+mod script;
+mod xds_client;
+mod xds_messages;
 
+pub use data_node::data_node;
 pub use discovery::{Discovery, member};
-pub use node::data_node;
-pub use subscriber::{Answer, Ask, Backend, Script, Subscriber, View};
-pub use xds::{Proxy, Reporter, odd_request};
-
-use std::net::{SocketAddr, TcpListener, TcpStream};
-
-/// Serves each connection to a listener of its own port on a thread.
-pub fn listen(serve: impl Fn(TcpStream) + Clone + Send + 'static) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = listener.local_addr().expect("an address");
-    std::thread::spawn(move || {
-        for stream in listener.incoming().flatten() {
-            let serve = serve.clone();
-            std::thread::spawn(move || serve(stream));
-        }
-    });
-    at
-}
+pub use listener::listen;
+pub use load_reporter::{EndpointLoad, Reporter};
+pub use proxy::{Proxy, request_unknown_type};
+pub use proxy_view::{Backend, View};
+pub use script::{ProxyTls, Reject, Script};
+pub use xds_client::XdsClient;
+pub use xds_messages::{DiscoveryRequest, DiscoveryResponse, ReceivedResource};
