--- a/crates/cli/tests/rare.rs
+++ b/crates/cli/tests/rare.rs
@@ -64,9 +64,9 @@
     router.until("node_connections_opened", 1);
     router.hold();
     let mut end = node.open();
-    let told = discovery.told();
-    discovery.tell(vec![member("a", &node.at.to_string(), "z", 0, "draining", 0)]);
-    discovery.wait_told(told + 1);
+    let told = discovery.updates_sent();
+    discovery.publish(vec![member("a", &node.at.to_string(), "z", 0, "draining", 0)]);
+    discovery.wait_for_updates_sent(told + 1);
     router.release();
     router.until("endpoint_lists_incremental", 1);
     drop(client);
--- a/crates/control-plane/examples/measure.rs
+++ b/crates/control-plane/examples/measure.rs
@@ -78,7 +78,7 @@
         })
         .collect();
     for proxy in &all {
-        proxy.wait("a whole view", |view| view.whole()).await;
+        proxy.wait("a whole view", |view| view.is_complete()).await;
     }
     let start = begun.elapsed();
     // Until nothing more comes: shares settle as proxies join.
@@ -101,7 +101,7 @@
             .collect();
         tokio::time::sleep(Duration::from_millis(20)).await;
         let told = Instant::now();
-        discovery.tell(vec![entry(node, CELLS, "draining", 0)]);
+        discovery.publish(vec![entry(node, CELLS, "draining", 0)]);
         for wait in waits {
             times.push(wait.await.expect("a task") - told);
         }
--- a/crates/control-plane/tests/loopback.rs
+++ b/crates/control-plane/tests/loopback.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use test_servers::{Discovery, Proxy, Script};
+use test_servers::{Discovery, EndpointLoad, Proxy, ProxyTls, Script};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::oneshot;
 
@@ -70,17 +70,17 @@
     let lag = |i: u64| Duration::from_millis(i % 4 * 100);
     let proxies = (0..24).map(|i| {
         let script =
-            Script { lag: lag(i), ..Script::new(&format!("p{i}"), rig::ZONES[i as usize % 3], i % 2 == 0) };
+            Script { delay: lag(i), ..Script::new(&format!("p{i}"), rig::ZONES[i as usize % 3], i % 2 == 0) };
         proxy(service.at, script)
     });
     let proxies: Vec<_> = proxies.collect();
     for proxy in &proxies {
-        proxy.until("a whole view", |view| view.whole() && view.uses(address(5))).await;
+        proxy.until("a whole view", |view| view.is_complete() && view.uses(address(5))).await;
     }
     // A fifth of the fleet, one after the other.
     for node in 0..5 {
         let told = Instant::now();
-        discovery.tell(vec![entry(node, 4, "draining", 0)]);
+        discovery.publish(vec![entry(node, 4, "draining", 0)]);
         for proxy in &proxies {
             proxy.until("the drain", |view| !view.uses(address(node))).await;
         }
@@ -111,17 +111,17 @@
         })
         .collect();
     for proxy in &proxies {
-        proxy.until("a whole view", |view| view.whole()).await;
+        proxy.until("a whole view", |view| view.is_complete()).await;
     }
     // Discovery goes down and comes back: what is told after that arrives.
     discovery.set_down(true);
-    let calls = discovery.calls();
-    while discovery.calls() < calls + 1 {
+    let calls = discovery.requests();
+    while discovery.requests() < calls + 1 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    assert!(proxies.iter().all(|proxy| proxy.view().whole()));
+    assert!(proxies.iter().all(|proxy| proxy.view().is_complete()));
     discovery.set_down(false);
-    discovery.tell(vec![entry(3, 4, "draining", 0)]);
+    discovery.publish(vec![entry(3, 4, "draining", 0)]);
     for proxy in &proxies {
         proxy.until("the drain", |view| !view.uses(address(3))).await;
     }
@@ -142,14 +142,14 @@
         .iter()
         .map(|before| {
             let after = Proxy::new(successor.at, before.script.clone());
-            after.hold(before.view());
+            after.set_view(before.view());
             let after = Arc::new(after);
             let runs = after.clone();
             tokio::spawn(async move { runs.run(None).await });
             after
         })
         .collect();
-    discovery.tell(vec![entry(4, 4, "draining", 0)]);
+    discovery.publish(vec![entry(4, 4, "draining", 0)]);
     for (before, after) in proxies.iter().zip(&again) {
         let view = after.until("the next drain", |view| !view.uses(address(4))).await;
         let fresh = view.log[before.view().log.len()..].iter();
@@ -158,7 +158,7 @@
         // Nodes 3 and 4 hold the shards of sets 2, 3 and 0; what the fourth set says did not change.
         let others: Vec<_> = endpoints.filter(|name| *name == "shards-1").collect();
         assert!(others.is_empty(), "{others:?}");
-        assert!(view.whole());
+        assert!(view.is_complete());
     }
     successor.stop().await;
 }
@@ -170,12 +170,14 @@
     let proxies: Vec<_> =
         (0..3).map(|i| proxy(service.at, Script::new(&format!("p{i}"), "east", true))).collect();
     for proxy in &proxies {
-        proxy.until("a whole view", |view| view.whole()).await;
+        proxy.until("a whole view", |view| view.is_complete()).await;
     }
-    let (bad, good) = ((address(2), [0, 40, 0, 40]), (address(2), [40, 0, 0, 40]));
+    let bad = EndpointLoad { at: address(2), succeeded: 0, errors: 40, in_progress: 0, issued: 40 };
+    let good = EndpointLoad { succeeded: 40, errors: 0, ..bad };
+    let other = EndpointLoad { at: address(1), in_progress: 1, ..good };
     let mut reporters = Vec::new();
     for (i, proxy) in proxies.iter().enumerate() {
-        let rows = vec![if i == 0 { good } else { bad }, (address(1), [40, 0, 1, 40])];
+        let rows = vec![if i == 0 { good } else { bad }, other];
         reporters.push(proxy.report(1, rows).await.expect("it asks for reports"));
     }
     for reporter in &reporters[1..] {
@@ -194,7 +196,7 @@
     // One node answers, at an address of its own; at the others nothing listens.
     let node = test_servers::data_node();
     let there = test_servers::member("n0000", &node.to_string(), "east", 0, "ready", 0);
-    discovery.tell(vec![there]);
+    discovery.publish(vec![there]);
     let service = Running::start(&discovery, 4, "probe_every = 100ms\nreport_every = 100ms").await;
     let proxy = proxy(service.at, Script::new("p", "east", true));
     proxy.until("the bar", |view| view.uses(node) && !view.uses(address(1)) && !view.uses(address(2))).await;
@@ -207,7 +209,7 @@
     let discovery = fleet(8, 4);
     let service = Running::start(&discovery, 4, "").await;
     let steady = proxy(service.at, Script::new("steady", "east", true));
-    steady.until("a whole view", |view| view.whole()).await;
+    steady.until("a whole view", |view| view.is_complete()).await;
     let mut rng = fastrand::Rng::with_seed(5);
     let silent: Vec<_> = (0..50).map(|_| TcpStream::connect(service.at).expect("a connection")).collect();
     for i in 0..50 {
@@ -223,10 +225,10 @@
     let channel = steady.channel().await.expect("a connection");
     for size in [100, 5 << 20] {
         let names = vec!["x".repeat(size)];
-        let status = test_servers::odd_request(channel.clone(), "odd", names).await;
+        let status = test_servers::request_unknown_type(channel.clone(), "odd", names).await;
         assert!(!matches!(status.code(), tonic::Code::Ok), "{status:?}");
     }
-    discovery.tell(vec![entry(1, 4, "draining", 0)]);
+    discovery.publish(vec![entry(1, 4, "draining", 0)]);
     steady.until("the drain", |view| !view.uses(address(1))).await;
     drop(silent);
     service.stop().await;
@@ -270,12 +272,17 @@
     let script = |id: &str, with: &(String, Vec<(String, String)>)| {
         let (certificate, key) = with.1[1].clone();
         Script {
-            tls: Some((with.0.clone(), certificate, key, "control".into())),
+            tls: Some(ProxyTls {
+                authority: with.0.clone(),
+                certificate,
+                key,
+                server_name: "control".into(),
+            }),
             ..Script::new(id, "east", true)
         }
     };
     let p = proxy(service.at, script("p", &first));
-    p.until("a whole view", |view| view.whole()).await;
+    p.until("a whole view", |view| view.is_complete()).await;
     // The same certificate does not make it another proxy; one of another authority is none; nor is none at all.
     let status = Proxy::new(service.at, script("q", &first)).run(None).await;
     assert_eq!(status.code(), tonic::Code::PermissionDenied);
@@ -294,7 +301,7 @@
         assert!(since.elapsed() < Duration::from_secs(20), "the files were not read anew");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    discovery.tell(vec![entry(1, 4, "draining", 0)]);
+    discovery.publish(vec![entry(1, 4, "draining", 0)]);
     p.until("the drain, on the connection from before", |view| !view.uses(address(1))).await;
     service.stop().await;
     std::fs::remove_dir_all(&folder).expect("the folder");
--- a/crates/control-plane/tests/machine.rs
+++ b/crates/control-plane/tests/machine.rs
@@ -34,7 +34,7 @@
             rig.tell(&[(3, "gone", 0)]);
             rig.connect(cutting);
             rig.pass(2 * SECOND);
-            assert!(rig.sims[cutting].of.view.whole());
+            assert!(rig.sims[cutting].of.view.is_complete());
             assert_eq!(acts(&rig.sims[cutting].of.view), acts(&rig.sims[steady].of.view), "cut {cut}");
             assert_eq!((rig.users(3), rig.users(5), rig.users(12)), (0, 0, 2));
         }
@@ -74,7 +74,7 @@
     let mut rig = Rig::new(12, 4, 2, "");
     // It takes clusters for bad and endpoints slowly.
     let mut script = Script::new("odd", "east", true);
-    script.refuse = Some(Arc::new(|url: &str, names: &[String]| {
+    script.reject = Some(Arc::new(|url: &str, names: &[String]| {
         (url.ends_with("Cluster") && names.iter().any(|n| n.starts_with("node-")))
             .then(|| "no\n\u{1b}[31m".repeat(99))
     }));
@@ -87,7 +87,7 @@
     rig.pass(250_000);
     assert_eq!((rig.users(1), rig.users(2)), (0, 0));
     rig.pass(SECOND);
-    assert!(rig.sims[odd].of.view.refused > 0);
+    assert!(rig.sims[odd].of.view.rejected > 0);
     // While its refusal stands a drain gets through.
     rig.tell(&[(6, "draining", 0)]);
     rig.pass(250_000);
@@ -113,7 +113,7 @@
     rig.pass(500_000);
     assert_eq!((rig.users(0), rig.users(4)), (0, 0));
     let view = &rig.sims[proxy].of.view;
-    assert!(view.whole() && view.endpoints["shards-0"].iter().all(|backend| !backend.healthy));
+    assert!(view.is_complete() && view.endpoints["shards-0"].iter().all(|backend| !backend.healthy));
     assert!(view.endpoints["shards-1"].iter().all(|backend| backend.healthy));
 }
 
@@ -141,7 +141,7 @@
     }
     rig.pass(20 * SECOND);
     let connected: Vec<_> = rig.sims.iter().filter(|sim| sim.stream.is_some()).collect();
-    assert!(connected.iter().all(|sim| sim.of.view.uses(address(9)) && sim.of.view.whole()));
+    assert!(connected.iter().all(|sim| sim.of.view.uses(address(9)) && sim.of.view.is_complete()));
     assert!(!connected[0].of.view.clusters.contains_key("node-n0009"), "warm again");
     assert_eq!(rig.counter("invariants_broken_total"), 0.0);
 }
@@ -189,7 +189,7 @@
     rig.restart(Control::new(START, &config(4, 1, known), options("")));
     let proxy = rig.join(true, 0);
     rig.pass(SECOND);
-    assert!(rig.sims[proxy].of.view.whole() && rig.users(7) == 1);
+    assert!(rig.sims[proxy].of.view.is_complete() && rig.users(7) == 1);
 }
 
 #[test]
@@ -211,14 +211,14 @@
     rig.tell_all();
     rig.pass(500_000);
     assert!(gone.iter().all(|&node| rig.users(node) == 0) && rig.users(20) == 3);
-    assert!(rig.sims.iter().all(|sim| sim.of.view.whole()));
+    assert!(rig.sims.iter().all(|sim| sim.of.view.is_complete()));
 }
 
 #[test]
 fn a_refused_version_is_not_offered_again_and_holds_up_nothing_else() {
     let mut rig = Rig::new(24, 4, 1, "");
     let mut script = Script::new("picky", "east", true);
-    script.refuse = Some(Arc::new(|url: &str, names: &[String]| {
+    script.reject = Some(Arc::new(|url: &str, names: &[String]| {
         (url.ends_with("Assignment") && names.iter().any(|name| name == "shards-2"))
             .then(|| "bad".to_string())
     }));
@@ -227,14 +227,14 @@
     let view = &rig.sims[picky].of.view;
     assert!(view.endpoints.len() == 3 && !view.endpoints.contains_key("shards-2"));
     // Twice with others, once alone.
-    assert!((1..=3).contains(&view.refused), "{}", view.refused);
+    assert!((1..=3).contains(&view.rejected), "{}", view.rejected);
     let before = rig.messages();
     rig.pass(60 * SECOND);
     assert_eq!(rig.messages(), before, "no loop");
-    rig.sims[picky].of.script.refuse = None;
+    rig.sims[picky].of.script.reject = None;
     rig.tell(&[(2, "draining", 0)]);
     rig.pass(SECOND);
-    assert!(rig.sims[picky].of.view.whole() && rig.counter("refused_total") >= 1.0);
+    assert!(rig.sims[picky].of.view.is_complete() && rig.counter("refused_total") >= 1.0);
 }
 
 #[test]
@@ -262,11 +262,11 @@
         let grpc = rig.join_as(script, 0);
         rig.pass(SECOND);
         let view = &rig.sims[grpc].of.view;
-        assert!(view.whole() && view.listeners.contains("yewpier") && view.listeners.len() == 1);
+        assert!(view.is_complete() && view.listeners.contains("yewpier") && view.listeners.len() == 1);
         rig.tell(&[(1, "ready", rig.now)]);
         rig.pass(5 * SECOND);
         rig.pass(20 * SECOND);
-        assert!(rig.sims[grpc].of.view.whole() && rig.users(1) == 1);
+        assert!(rig.sims[grpc].of.view.is_complete() && rig.users(1) == 1);
     }
 }
 
@@ -351,7 +351,7 @@
     assert_eq!(rig.counter("streams"), 1.0);
     rig.tell(&[(1, "draining", 0)]);
     rig.pass(SECOND);
-    assert!(rig.sims[steady].of.view.whole() && rig.users(1) == 0);
+    assert!(rig.sims[steady].of.view.is_complete() && rig.users(1) == 0);
     assert_eq!(rig.counter("stale_total"), 2.0);
 }
 
@@ -496,7 +496,7 @@
         let due = if draining.contains(&node) { 0 } else { rig.sims.len() };
         assert_eq!(rig.users(node), due, "seed {seed}: node {node}");
     }
-    assert!(rig.sims.iter().all(|sim| sim.of.view.whole()), "seed {seed}");
+    assert!(rig.sims.iter().all(|sim| sim.of.view.is_complete()), "seed {seed}");
     assert_eq!(rig.counter("departures_late"), 0.0, "seed {seed}");
 }
 
--- a/crates/control-plane/tests/rig/mod.rs
+++ b/crates/control-plane/tests/rig/mod.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value as Json, json};
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
-use test_servers::{Answer, Script, Subscriber, member};
+use test_servers::{DiscoveryResponse, ReceivedResource, Script, XdsClient, member};
 use xds_api::pb::google::protobuf::Any;
 
 /// When runs begin.
@@ -66,7 +66,7 @@
 
 /// A proxy beside the machine.
 pub struct Sim {
-    pub of: Subscriber,
+    pub of: XdsClient,
     pub lag: Micros,
     pub stream: Option<Stream>,
     inbox: VecDeque<(Micros, Response)>,
@@ -150,7 +150,7 @@
     }
 
     pub fn join_as(&mut self, script: Script, lag: Micros) -> usize {
-        let (of, inbox) = (Subscriber::new(script), VecDeque::new());
+        let (of, inbox) = (XdsClient::new(script), VecDeque::new());
         self.sims.push(Sim {
             of,
             lag,
@@ -194,12 +194,12 @@
         }
     }
 
-    fn say(&mut self, i: usize, asks: Vec<test_servers::Ask>) {
+    fn say(&mut self, i: usize, asks: Vec<test_servers::DiscoveryRequest>) {
         let script = self.sims[i].of.script.clone();
         let node = Some((script.id.as_str(), script.zone.as_str()));
         for ask in asks {
             let Some(stream) = self.sims[i].stream else { return };
-            let refusal = ask.refusal.as_deref();
+            let refusal = ask.rejection.as_deref();
             if script.delta {
                 self.control.request_delta(
                     self.now,
@@ -272,16 +272,16 @@
             |r: &control_plane::Resource| Any { type_url: response.kind.url(), value: r.body.clone() };
         let put = response.resources.iter().map(|resource| {
             let any = (!response.heartbeat).then(|| content(resource));
-            (resource.name.clone(), resource.version.clone(), any)
+            ReceivedResource { name: resource.name.clone(), version: resource.version.clone(), content: any }
         });
-        let answer = Answer {
+        let answer = DiscoveryResponse {
             url: response.kind.url(),
             version: response.version.clone(),
             nonce: response.nonce.clone(),
-            put: put.collect(),
+            resources: put.collect(),
             removed: response.removed.clone(),
         };
-        let asks = sim.of.take(&answer);
+        let asks = sim.of.handle_response(&answer);
         if let Some(left) = &mut sim.cut_after {
             *left -= 1;
             if *left == 0 {
