--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,8 +1,9 @@
-//! The simulator wire's codes, and ours.
+//! The codes of the simulator's protocol and what they stand for.
 
 use balancer::{AttemptOutcome, EndpointUpdate};
 
-pub fn outcome(code: &str) -> Option<AttemptOutcome> {
+/// How an attempt or a health check ended.
+pub fn attempt_outcome(code: &str) -> Option<AttemptOutcome> {
     Some(match code {
         "Ok" => AttemptOutcome::Succeeded,
         "Failed" => AttemptOutcome::ServerError,
@@ -16,7 +17,8 @@
     })
 }
 
-pub fn listing(code: &str) -> Option<EndpointUpdate> {
+/// What an endpoint update contains.
+pub fn endpoint_update(code: &str) -> Option<EndpointUpdate> {
     Some(match code {
         "diff" => EndpointUpdate::Incremental,
         "snapshot" => EndpointUpdate::Full,
--- /dev/null
+++ b/crates/simulator-adapter/src/host.rs
@@ -0,0 +1,188 @@
+//! The routers that run side by side, and the batches of events that the simulator sends them.
+
+use crate::codes;
+use crate::error::{AdapterError, FieldError, MessageError};
+use crate::instance::{Instance, ListedEndpoint};
+use crate::line::Line;
+use balancer::{EndpointUpdate, Micros};
+use settings_schema::endpoint_state;
+use std::collections::BTreeMap;
+
+/// Ends each reply.
+const END_OF_REPLY: &[u8] = b"READY\n";
+
+/// The routers, and what has been read of the present batch.
+#[derive(Default)]
+pub struct Host {
+    instances: BTreeMap<String, Instance>,
+    endpoint_lists: BTreeMap<usize, Vec<ListedEndpoint>>,
+    /// The batch that is being read.
+    batch: Option<Batch>,
+    /// The endpoint list that is being read.
+    unfinished_list: Option<UnfinishedList>,
+    /// The reply to the batch that began last.
+    reply: Vec<u8>,
+}
+
+/// A batch of events of one instant.
+struct Batch {
+    now: Micros,
+    /// The routers with events, in the order of their first event.
+    routers: Vec<String>,
+}
+
+/// An endpoint list whose entries follow.
+#[derive(Clone, Copy)]
+struct UnfinishedList {
+    number: usize,
+    remaining: usize,
+}
+
+/// Whether a line ended its batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum BatchStatus {
+    /// More lines follow.
+    Unfinished,
+    /// The reply to the batch is complete.
+    Finished,
+}
+
+impl Host {
+    /// Whether a batch has begun and not ended.
+    pub fn is_in_batch(&self) -> bool {
+        self.batch.is_some()
+    }
+
+    /// The reply to the batch that finished last.
+    pub fn reply(&self) -> &[u8] {
+        &self.reply
+    }
+
+    /// Handles one line of input.
+    pub fn handle_line(&mut self, number: usize, text: &str) -> Result<BatchStatus, AdapterError> {
+        let line = Line::parse(number, text)?;
+        if let Some(list) = self.unfinished_list {
+            self.add_list_entry(&line, list)?;
+            return Ok(BatchStatus::Unfinished);
+        }
+        if line.message == "TURN" {
+            self.start_batch(&line)?;
+            return Ok(BatchStatus::Unfinished);
+        }
+        let Some(batch) = &self.batch else { return Err(line.error(MessageError::OutsideBatch)) };
+        let now = batch.now;
+        match line.message {
+            "EOB" => {
+                self.end_batch();
+                return Ok(BatchStatus::Finished);
+            }
+            "DIRECTORY" => self.start_list(&line)?,
+            "ITEM" => return Err(line.error(MessageError::NoListBegun)),
+            "INIT" => self.start_router(&line)?,
+            "HALT" => self.stop_router(&line)?,
+            _ => self.handle_router_event(now, &line)?,
+        }
+        Ok(BatchStatus::Unfinished)
+    }
+
+    fn start_batch(&mut self, line: &Line) -> Result<(), AdapterError> {
+        if self.batch.is_some() {
+            return Err(line.error(MessageError::BatchNotEnded));
+        }
+        self.reply.clear();
+        self.batch = Some(Batch { now: line.micros("atTimeNs")?, routers: Vec::new() });
+        Ok(())
+    }
+
+    /// Lets each router with events decide.
+    fn end_batch(&mut self) {
+        if let Some(batch) = self.batch.take() {
+            for router in batch.routers {
+                if let Some(instance) = self.instances.get_mut(&router) {
+                    instance.decide(batch.now, &mut self.reply);
+                }
+            }
+        }
+        self.reply.extend_from_slice(END_OF_REPLY);
+    }
+
+    fn start_list(&mut self, line: &Line) -> Result<(), AdapterError> {
+        let (number, remaining) = (line.value("list")?, line.value("rows")?);
+        self.endpoint_lists.insert(number, Vec::new());
+        self.unfinished_list = (remaining > 0).then_some(UnfinishedList { number, remaining });
+        Ok(())
+    }
+
+    fn add_list_entry(&mut self, line: &Line, list: UnfinishedList) -> Result<(), AdapterError> {
+        let UnfinishedList { number, remaining } = list;
+        if line.message != "ITEM" {
+            return Err(line.error(MessageError::EntriesMissing { remaining }));
+        }
+        let endpoint = ListedEndpoint {
+            node: line.text("node")?.to_string(),
+            zone: line.value_or("campus", 0)?,
+            replica_set: line.value_or("position", 0)?,
+            state: line.code("phase", endpoint_state)?,
+            scale: line.value_or("scale", 1.0)?,
+            started_at: line.micros_or_zero("upSinceNs")?,
+        };
+        line.value_or::<usize>("shape", 0)?;
+        self.endpoint_lists.entry(number).or_default().push(endpoint);
+        self.unfinished_list = (remaining > 1).then_some(UnfinishedList { number, remaining: remaining - 1 });
+        Ok(())
+    }
+
+    fn start_router(&mut self, line: &Line) -> Result<(), AdapterError> {
+        let name = line.text("router")?;
+        self.instances.insert(name.to_string(), Instance::new(name, line)?);
+        Ok(())
+    }
+
+    fn stop_router(&mut self, line: &Line) -> Result<(), AdapterError> {
+        let name = line.text("router")?;
+        if self.instances.remove(name).is_none() {
+            return Err(unknown_router(line, name));
+        }
+        if let Some(batch) = &mut self.batch {
+            batch.routers.retain(|router| router != name);
+        }
+        Ok(())
+    }
+
+    fn handle_router_event(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        let name = line.text("router")?;
+        let instance = self.instances.get_mut(name).ok_or_else(|| unknown_router(line, name))?;
+        if line.message == "ROSTER_CHANGE" {
+            let update = line.code("how", codes::endpoint_update)?;
+            line.value_or::<i64>("revision", 0)?;
+            let endpoints = match update {
+                EndpointUpdate::Failed => &[],
+                _ => listed_endpoints(&self.endpoint_lists, line)?,
+            };
+            instance.endpoints_updated(now, update, endpoints, &mut self.reply);
+        } else {
+            instance.handle_event(now, line)?;
+        }
+        if let Some(batch) = &mut self.batch
+            && !batch.routers.iter().any(|router| router == name)
+        {
+            batch.routers.push(name.to_string());
+        }
+        Ok(())
+    }
+}
+
+fn unknown_router(line: &Line, name: &str) -> AdapterError {
+    line.field_error("router", FieldError::UnknownValue { value: name.to_string() })
+}
+
+/// The endpoint list that a line names.
+fn listed_endpoints<'a>(
+    lists: &'a BTreeMap<usize, Vec<ListedEndpoint>>, line: &Line,
+) -> Result<&'a [ListedEndpoint], AdapterError> {
+    let list = line.value("list")?;
+    match lists.get(&list) {
+        Some(endpoints) => Ok(endpoints),
+        None => Err(line.field_error("list", FieldError::UnknownList { list })),
+    }
+}
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,286 +1,282 @@
-//! One router: its module, its ids, and the lines that its actions become.
+//! One router: its balancer, and the ids that the simulator uses for what the balancer knows by index.
 
 use crate::codes;
+use crate::error::{AdapterError, FieldError, MessageError};
 use crate::line::Line;
+use crate::reply::{NO_DATA, Released, Reply};
 use balancer::{
-    Actions, AttemptEnd, AttemptId, AttemptNumber, Balancer, Completion, Endpoint, EndpointState,
-    EndpointUpdate, Events, HealthCheckEnd, LoadMetric, Micros, NodeId, QueryArrival, QueryId,
-    ShardRequestArrival, ShardRequestId,
+    Actions, AttemptEnd, AttemptId, AttemptNumber, Balancer, Endpoint, EndpointState, EndpointUpdate, Events,
+    HealthCheckEnd, LoadMetric, Micros, NodeId, QueryArrival, QueryId, Settings, ShardRequestArrival,
+    ShardRequestId,
 };
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD as BASE64;
-use settings_schema::IdInterner;
-use settings_schema::{parse_load_metrics, parse_settings};
+use settings_schema::{IdInterner, parse_load_metrics, parse_settings};
 use std::collections::HashMap;
-use std::io::Write;
 
-/// One line of a numbered list: node, zone, cell, phase, scale and start.
-pub type Row = (String, usize, usize, EndpointState, f64, Micros);
+/// Stands between name and value in a load report.
+const LOAD_SEPARATOR: char = ':';
 
+/// One entry of an endpoint list.
+pub struct ListedEndpoint {
+    /// The node's id.
+    pub node: String,
+    /// Index of its zone.
+    pub zone: usize,
+    /// Index of the replica set that it belongs to.
+    pub replica_set: usize,
+    /// Whether it may be used.
+    pub state: EndpointState,
+    /// Its size relative to others.
+    pub scale: f64,
+    /// When its process started, 0 for long ago.
+    pub started_at: Micros,
+}
+
+/// A router.
 pub struct Instance {
     name: String,
-    router: Balancer,
-    ops: IdInterner<u64>,
+    balancer: Balancer,
+    /// The simulator's ids of queries and shard requests, which share one range.
+    operations: IdInterner<u64>,
     nodes: IdInterner<String>,
-    /// The retrieval of each query number, and by retrieval its number and parts.
-    queries: HashMap<u64, usize>,
-    members: Vec<(u64, Vec<usize>)>,
+    /// By the number that a query's shard requests name it by.
+    query_ids: HashMap<u64, QueryId>,
+    /// By index of the query.
+    queries: Vec<Query>,
+}
+
+/// What is released with a query.
+#[derive(Default)]
+struct Query {
+    number: u64,
+    shard_requests: Vec<ShardRequestId>,
 }
 
-/// What a batch's events made the module do, as lines of the reply.
-struct Reply<'a> {
-    name: &'a str,
-    ops: &'a IdInterner<u64>,
-    nodes: &'a IdInterner<String>,
-    over: Vec<usize>,
-    left: Vec<usize>,
-    out: &'a mut Vec<u8>,
+/// A query, or the request of a query to one shard.
+struct Request {
+    id: u64,
+    class: usize,
+    tenant: usize,
+    deadline: Micros,
+    work: Micros,
+    query_number: u64,
+    /// `None` for a query.
+    shard: Option<usize>,
+    /// The weight of a shard request; for a query, how many shard requests follow.
+    weight: f64,
+    is_retry: bool,
 }
 
-impl Reply<'_> {
-    fn line(&mut self, message: &str, fields: std::fmt::Arguments) {
-        let _ = writeln!(self.out, "{message}\trouter={}{fields}", self.name);
+impl Request {
+    fn parse(line: &Line) -> Result<Self, AdapterError> {
+        let request = Request {
+            id: line.value("opId")?,
+            class: line.value("lane")?,
+            tenant: line.value_or("org", 0)?,
+            deadline: line.micros("validUntilNs")?,
+            work: line.micros_or_zero("sizeHintNs")?,
+            query_number: line.value("query")?,
+            // A negative number stands for no shard.
+            shard: usize::try_from(line.value::<i64>("shard")?).ok(),
+            weight: line.number("heft")?,
+            is_retry: line.flag("retry")?,
+        };
+        line.flag("mutates")?;
+        Ok(request)
     }
+}
 
-    fn on_op(&mut self, message: &str, op: usize, fields: std::fmt::Arguments) {
-        if let Some(&id) = self.ops.key(op) {
-            self.line(message, format_args!("\topId={id}{fields}"));
-        }
+fn load_metrics<'a>(line: &Line<'a>) -> Result<Vec<LoadMetric<'a>>, AdapterError> {
+    let report = line.optional_text("gauge").unwrap_or("");
+    parse_load_metrics(report, LOAD_SEPARATOR)
+        .ok_or_else(|| line.field_error("gauge", FieldError::NotALoadReport { value: report.to_string() }))
+}
+
+fn settings(line: &Line) -> Result<Settings, AdapterError> {
+    let json = serde_json::from_str(line.text("bootInfo")?)
+        .map_err(|cause| line.field_error("bootInfo", FieldError::NotJson(cause)))?;
+    parse_settings(&json).map_err(|cause| line.field_error("bootInfo", FieldError::NotSettings(cause)))
+}
+
+impl Instance {
+    /// A router that starts with the seed and the settings of `line`.
+    pub fn new(name: &str, line: &Line) -> Result<Self, AdapterError> {
+        // Accepts the signed and the unsigned form of a 64-bit number.
+        let seed = line.value::<i128>("nonce64")? as u64;
+        Ok(Instance {
+            name: name.to_string(),
+            balancer: Balancer::new(seed, settings(line)?),
+            operations: IdInterner::default(),
+            nodes: IdInterner::default(),
+            query_ids: HashMap::new(),
+            queries: Vec::new(),
+        })
     }
 
-    fn on_node(&mut self, message: &str, node: NodeId) {
-        if let Some(id) = self.nodes.key(node.0) {
-            self.line(message, format_args!("\tnode={id}"));
+    /// Calls the balancer, writes its actions to `output` and releases the ids that it no longer uses.
+    fn with_actions(&mut self, output: &mut Vec<u8>, call: impl FnOnce(&mut Balancer, &mut dyn Actions)) {
+        let mut reply = Reply::new(&self.name, &self.operations, &self.nodes, output);
+        call(&mut self.balancer, &mut reply);
+        let Released { queries, nodes } = reply.released();
+        for node in nodes {
+            self.nodes.release(node.0);
+        }
+        for query in queries {
+            self.release_query(query);
         }
     }
-}
 
-impl Actions for Reply<'_> {
-    fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>) {
-        if let Some(id) = self.nodes.key(node.0) {
-            let allow = timeout.unwrap_or(0) * 1000;
-            self.on_op("FORWARD", shard_request.0, format_args!("\tnode={id}\tallowForNs={allow}"));
+    fn release_query(&mut self, id: QueryId) {
+        let Some(entry) = self.queries.get_mut(id.0) else { return };
+        let query = std::mem::take(entry);
+        self.query_ids.remove(&query.number);
+        for shard_request in query.shard_requests {
+            self.operations.release(shard_request.0);
         }
+        self.operations.release(id.0);
     }
-    fn cancel_attempt(&mut self, attempt: AttemptId) {
-        let number = attempt.number.0;
-        self.on_op("RETRACT", attempt.shard_request.0, format_args!("\ttrial={number}"));
-    }
-    fn complete_query(&mut self, query: QueryId, completion: Completion) {
-        let retrieval = query.0;
-        match completion {
-            Completion::Complete => self.on_op("GATHER_UP", retrieval, format_args!("\ton=1")),
-            Completion::Partial => self.on_op("GATHER_UP", retrieval, format_args!("\ton=0")),
-            Completion::Rejected { retry_after } => {
-                let wait = retry_after.unwrap_or(0) * 1000;
-                self.on_op("SAY_NO", retrieval, format_args!("\tstayAwayNs={wait}"))
-            }
-            Completion::Failed => self.on_op("REPORT_FAILURE", retrieval, format_args!("")),
+
+    /// Reports an endpoint update.
+    pub fn endpoints_updated(
+        &mut self, now: Micros, update: EndpointUpdate, endpoints: &[ListedEndpoint], output: &mut Vec<u8>,
+    ) {
+        self.balancer.endpoint_update_started(now, update);
+        for listed in endpoints {
+            let endpoint = Endpoint {
+                node: NodeId(self.nodes.intern(listed.node.clone())),
+                zone: listed.zone,
+                replica_set: listed.replica_set,
+                state: listed.state,
+                scale: listed.scale,
+                started_at: listed.started_at,
+            };
+            self.balancer.endpoint_listed(now, &endpoint);
         }
+        self.with_actions(output, |balancer, actions| balancer.endpoint_update_finished(now, actions));
     }
-    fn release_query(&mut self, query: QueryId) {
-        self.over.push(query.0);
-    }
-    fn release_node(&mut self, node: NodeId) {
-        self.left.push(node.0);
-    }
-    fn set_timer(&mut self, wait: Micros, token: u64) {
-        self.line("NOTIFY_ME", format_args!("\twaitNs={}\tcookie={token}", wait * 1000));
-    }
-    fn check_health(&mut self, node: NodeId) {
-        self.on_node("SAMPLE", node);
-    }
-    fn close_idle_connections(&mut self, node: NodeId) {
-        self.on_node("LET_GO", node);
-    }
-    fn watch_endpoints(&mut self, enabled: bool) {
-        self.line("KEEP_INFORMED", format_args!("\ton={}", enabled as u8));
+
+    /// Lets the balancer decide.
+    pub fn decide(&mut self, now: Micros, output: &mut Vec<u8>) {
+        self.with_actions(output, |balancer, actions| balancer.decide(now, actions));
     }
-    fn poll_endpoints(&mut self) {
-        self.line("RELOAD", format_args!(""));
+
+    /// Reports any event but an endpoint update.
+    pub fn handle_event(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        match line.message {
+            "ACCEPT" => self.request_arrived(now, line),
+            "VERDICT" => self.attempt_ended(now, line),
+            "STARTED" => self.response_started(now, line),
+            "CANCELLED_BY_CLIENT" => self.client_disconnected(now, line),
+            "TICK_DUE" => self.timer_expired(now, line),
+            "STATUS_BACK" => self.health_check_ended(now, line),
+            "DATAGRAM" => self.gossip_received(now, line),
+            _ => Err(line.error(MessageError::Unknown)),
+        }
     }
-    fn send_gossip(&mut self, peer: Option<usize>, data: &[u8]) {
-        let to = peer.map_or("all".to_string(), |p| p.to_string());
-        let data = if data.is_empty() { "-".to_string() } else { BASE64.encode(data) };
-        self.line("MEMO_TO", format_args!("\tdest={to}\tdata={data}"));
+
+    fn request_arrived(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        let request = Request::parse(line)?;
+        match request.shard {
+            Some(shard) => self.shard_request_arrived(now, &request, shard),
+            None => self.query_arrived(now, &request),
+        }
+        Ok(())
     }
-    fn log(&mut self, text: &str) {
-        self.line("JOURNAL_LINE", format_args!("\treasonText={text}"));
+
+    fn query_arrived(&mut self, now: Micros, request: &Request) {
+        let query = QueryId(self.operations.intern(request.id));
+        if self.queries.len() <= query.0 {
+            self.queries.resize_with(query.0 + 1, Query::default);
+        }
+        self.queries[query.0] = Query { number: request.query_number, shard_requests: Vec::new() };
+        self.query_ids.insert(request.query_number, query);
+        let arrival = QueryArrival {
+            query,
+            class: request.class,
+            tenant: request.tenant,
+            deadline: request.deadline,
+            work: request.work,
+            shard_requests: request.weight.max(0.0) as usize,
+            is_retry: request.is_retry,
+        };
+        self.balancer.query_arrived(now, &arrival);
     }
-}
 
-/// Calls `$call` on the module with a reply in hand, then gives back the ids it is done with.
-macro_rules! with_reply {
-    ($self:ident, $out:expr, $call:ident($($arg:expr),*)) => {{
-        let (ops, nodes) = (&$self.ops, &$self.nodes);
-        let (over, left) = (Vec::new(), Vec::new());
-        let mut reply = Reply { name: &$self.name, ops, nodes, over, left, out: $out };
-        $self.router.$call($($arg,)* &mut reply);
-        let (over, left) = (reply.over, reply.left);
-        left.into_iter().for_each(|node| $self.nodes.release(node));
-        over.into_iter().for_each(|retrieval| $self.release(retrieval));
-    }};
-}
+    /// A shard request of a query that is not known, or has ended, is ignored.
+    fn shard_request_arrived(&mut self, now: Micros, request: &Request, shard: usize) {
+        let Some(&query) = self.query_ids.get(&request.query_number) else { return };
+        let shard_request = ShardRequestId(self.operations.intern(request.id));
+        self.queries[query.0].shard_requests.push(shard_request);
+        let arrival =
+            ShardRequestArrival { shard_request, query, shard, weight: request.weight, work: request.work };
+        self.balancer.shard_request_arrived(now, &arrival);
+    }
 
-impl Instance {
-    pub fn new(name: &str, line: &Line) -> Result<Self, String> {
-        let seed = line.need::<i128>("nonce64")? as u64;
-        let json = serde_json::from_str(line.text("bootInfo")?).map_err(|e| e.to_string());
-        let settings = json
-            .and_then(|json| parse_settings(&json).map_err(|e| e.to_string()))
-            .map_err(|e| line.wrong("bootInfo", &e))?;
-        Ok(Instance {
-            name: name.to_string(),
-            router: Balancer::new(seed, settings),
-            ops: IdInterner::default(),
-            nodes: IdInterner::default(),
-            queries: HashMap::new(),
-            members: Vec::new(),
-        })
+    /// The attempt and the node that a line names; `None` if the shard request or the node is not known any
+    /// more.
+    fn attempt(&self, line: &Line) -> Result<Option<(AttemptId, NodeId)>, AdapterError> {
+        let number = AttemptNumber(line.value("trial")?);
+        let operation = self.operations.find(&line.value::<u64>("opId")?);
+        let node = self.nodes.find(line.text("node")?);
+        Ok(operation
+            .zip(node)
+            .map(|(operation, node)| (AttemptId::new(ShardRequestId(operation), number), NodeId(node))))
     }
 
-    fn release(&mut self, retrieval: usize) {
-        if let Some((query, parts)) = self.members.get_mut(retrieval).map(std::mem::take) {
-            self.queries.remove(&query);
-            parts.into_iter().for_each(|part| self.ops.release(part));
-            self.ops.release(retrieval);
+    fn attempt_ended(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        let attempt = self.attempt(line)?;
+        let latency = line.micros("lagNs")?;
+        let outcome = line.code("disposition", codes::attempt_outcome)?;
+        let load = load_metrics(line)?;
+        line.flag("complete")?;
+        if let Some((attempt, node)) = attempt {
+            let end = AttemptEnd { attempt, node, outcome, latency, load: &load };
+            self.balancer.attempt_ended(now, &end);
         }
+        Ok(())
     }
 
-    pub fn members(&mut self, now: Micros, how: EndpointUpdate, rows: &[Row], out: &mut Vec<u8>) {
-        self.router.endpoint_update_started(now, how);
-        for (node, zone, cell, phase, scale, up_since) in rows {
-            let node = self.nodes.intern(node.clone());
-            self.router.endpoint_listed(
-                now,
-                &Endpoint {
-                    node: NodeId(node),
-                    zone: *zone,
-                    replica_set: *cell,
-                    state: *phase,
-                    scale: *scale,
-                    started_at: *up_since,
-                },
-            );
+    fn response_started(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        let attempt = self.attempt(line)?;
+        let latency = line.micros("lagNs")?;
+        if let Some((attempt, node)) = attempt {
+            self.balancer.response_started(now, attempt, node, latency);
         }
-        with_reply!(self, out, endpoint_update_finished(now));
+        Ok(())
     }
 
-    pub fn settle(&mut self, now: Micros, out: &mut Vec<u8>) {
-        with_reply!(self, out, decide(now));
+    fn client_disconnected(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        if let Some(operation) = self.operations.find(&line.value::<u64>("opId")?) {
+            self.balancer.client_disconnected(now, QueryId(operation));
+        }
+        Ok(())
     }
 
-    /// Every event that names an instance and needs no list.
-    pub fn event(&mut self, now: Micros, line: &Line) -> Result<(), String> {
-        match line.message {
-            "ACCEPT" => self.accept(now, line)?,
-            "VERDICT" => {
-                let (trial, lag) = (line.need("trial")?, line.micros("lagNs")?);
-                let outcome = line.code("disposition", codes::outcome)?;
-                let load = self.gauge(line)?;
-                let (op, node): (u64, &str) = (line.need("opId")?, line.text("node")?);
-                line.flag("complete")?;
-                if let (Some(part), Some(node)) = (self.ops.find(&op), self.nodes.find(node)) {
-                    self.router.attempt_ended(
-                        now,
-                        &AttemptEnd {
-                            attempt: AttemptId::new(ShardRequestId(part), AttemptNumber(trial)),
-                            node: NodeId(node),
-                            outcome,
-                            latency: lag,
-                            load: &load,
-                        },
-                    );
-                }
-            }
-            "STARTED" => {
-                let (trial, lag, node) = (line.need("trial")?, line.micros("lagNs")?, line.text("node")?);
-                let op: u64 = line.need("opId")?;
-                if let (Some(part), Some(node)) = (self.ops.find(&op), self.nodes.find(node)) {
-                    self.router.response_started(
-                        now,
-                        AttemptId::new(ShardRequestId(part), AttemptNumber(trial)),
-                        NodeId(node),
-                        lag,
-                    );
-                }
-            }
-            "CANCELLED_BY_CLIENT" => {
-                if let Some(op) = self.ops.find(&line.need("opId")?) {
-                    self.router.client_disconnected(now, QueryId(op));
-                }
-            }
-            "TICK_DUE" => self.router.timer_expired(now, line.need("cookie")?),
-            "STATUS_BACK" => {
-                let outcome = line.code("disposition", codes::outcome)?;
-                let (lag, load) = (line.micros("lagNs")?, self.gauge(line)?);
-                if let Some(node) = self.nodes.find(line.text("node")?) {
-                    self.router.health_check_ended(
-                        now,
-                        &HealthCheckEnd { node: NodeId(node), outcome, latency: lag, load: &load },
-                    );
-                }
-            }
-            "DATAGRAM" => {
-                let data = match line.text("data")? {
-                    "-" => Vec::new(),
-                    text => BASE64.decode(text).map_err(|_| line.wrong("data", "it is not base64"))?,
-                };
-                self.router.gossip_received(now, line.need("by")?, &data);
-            }
-            _ => return Err(format!("line {}: {}: unknown message", line.number, line.message)),
-        }
+    fn timer_expired(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        self.balancer.timer_expired(now, line.value("cookie")?);
         Ok(())
     }
 
-    fn gauge<'a>(&self, line: &Line<'a>) -> Result<Vec<LoadMetric<'a>>, String> {
-        let text = line.maybe("gauge").unwrap_or("");
-        parse_load_metrics(text, ':')
-            .ok_or_else(|| line.wrong("gauge", &format!("'{text}' is not pairs of name:number")))
+    fn health_check_ended(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        let outcome = line.code("disposition", codes::attempt_outcome)?;
+        let latency = line.micros("lagNs")?;
+        let load = load_metrics(line)?;
+        if let Some(node) = self.nodes.find(line.text("node")?) {
+            let end = HealthCheckEnd { node: NodeId(node), outcome, latency, load: &load };
+            self.balancer.health_check_ended(now, &end);
+        }
+        Ok(())
     }
 
-    fn accept(&mut self, now: Micros, line: &Line) -> Result<(), String> {
-        let id: u64 = line.need("opId")?;
-        let (class, tenant) = (line.need("lane")?, line.or("org", 0)?);
-        let until = line.micros("validUntilNs")?;
-        let (work, query) = (line.micros_or_zero("sizeHintNs")?, line.need::<u64>("query")?);
-        let (shard, weight) = (line.need::<i64>("shard")?, line.number("heft")?);
-        let again = line.flag("retry")?;
-        line.flag("mutates")?;
-        if let Ok(shard) = usize::try_from(shard) {
-            let Some(&retrieval) = self.queries.get(&query) else { return Ok(()) };
-            let part = self.ops.intern(id);
-            self.members[retrieval].1.push(part);
-            self.router.shard_request_arrived(
-                now,
-                &ShardRequestArrival {
-                    shard_request: ShardRequestId(part),
-                    query: QueryId(retrieval),
-                    shard,
-                    weight,
-                    work,
-                },
-            );
-        } else {
-            let retrieval = self.ops.intern(id);
-            if self.members.len() <= retrieval {
-                self.members.resize_with(retrieval + 1, Default::default);
+    fn gossip_received(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+        let data = match line.text("data")? {
+            NO_DATA => Vec::new(),
+            text => {
+                BASE64.decode(text).map_err(|cause| line.field_error("data", FieldError::NotBase64(cause)))?
             }
-            self.members[retrieval] = (query, Vec::new());
-            self.queries.insert(query, retrieval);
-            self.router.query_arrived(
-                now,
-                &QueryArrival {
-                    query: QueryId(retrieval),
-                    class,
-                    tenant,
-                    deadline: until,
-                    work,
-                    shard_requests: weight.max(0.0) as usize,
-                    is_retry: again,
-                },
-            );
-        }
+        };
+        self.balancer.gossip_received(now, line.value("by")?, &data);
         Ok(())
     }
 }
--- a/crates/simulator-adapter/src/line.rs
+++ b/crates/simulator-adapter/src/line.rs
@@ -1,90 +1,102 @@
-//! One line of the wire: a message name, then tab-parted `name=value` fields in any order.
+//! One line of the simulator's protocol: a message name, then `name=value` fields in any order, separated by
+//! tabs.
 
+#[cfg(test)]
+mod tests;
+
+use crate::error::{AdapterError, FieldError, MessageError};
+use balancer::Micros;
 use std::str::FromStr;
 
+/// Times of the protocol are nanoseconds.
+pub const NANOSECONDS_PER_MICROSECOND: i64 = 1000;
+
+/// A line whose fields are read by name.
 pub struct Line<'a> {
-    pub number: usize,
+    /// Counted from 1.
+    number: usize,
+    /// The message's name.
     pub message: &'a str,
-    rest: &'a str,
+    fields: &'a str,
 }
 
 impl<'a> Line<'a> {
-    pub fn new(number: usize, text: &'a str) -> Result<Self, String> {
-        let (message, rest) = text.split_once('\t').unwrap_or((text, ""));
-        let line = Line { number, message, rest };
-        match rest.split('\t').find(|field| !field.is_empty() && !field.contains('=')) {
-            Some(field) => Err(line.wrong(field, "has no '='")),
+    /// Splits a line; an error if a field has no `=`.
+    pub fn parse(number: usize, text: &'a str) -> Result<Self, AdapterError> {
+        let (message, fields) = text.split_once('\t').unwrap_or((text, ""));
+        let line = Line { number, message, fields };
+        match fields.split('\t').find(|field| !field.is_empty() && !field.contains('=')) {
+            Some(field) => Err(line.field_error(field, FieldError::NoValue)),
             None => Ok(line),
         }
     }
 
-    pub fn wrong(&self, field: &str, why: &str) -> String {
-        format!("line {}: {}: {field}: {why}", self.number, self.message)
+    /// An error that names this line.
+    pub fn error(&self, cause: MessageError) -> AdapterError {
+        AdapterError::Message { line: self.number, message: self.message.to_string(), cause }
+    }
+
+    /// An error that names this line and one of its fields.
+    pub fn field_error(&self, field: &str, cause: FieldError) -> AdapterError {
+        self.error(MessageError::Field { field: field.to_string(), cause })
     }
 
-    pub fn maybe(&self, name: &str) -> Option<&'a str> {
-        self.rest.split('\t').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
+    /// The text of a field, if it is there.
+    pub fn optional_text(&self, name: &str) -> Option<&'a str> {
+        self.fields.split('\t').find_map(|field| field.strip_prefix(name)?.strip_prefix('='))
     }
 
-    /// A text that may hold anything but a line's end.
-    pub fn text(&self, name: &str) -> Result<&'a str, String> {
-        self.maybe(name).ok_or_else(|| self.wrong(name, "it is missing"))
+    /// The text of a field.
+    pub fn text(&self, name: &str) -> Result<&'a str, AdapterError> {
+        self.optional_text(name).ok_or_else(|| self.field_error(name, FieldError::Missing))
     }
 
-    fn read<T: FromStr>(&self, name: &str, value: &str) -> Result<T, String> {
-        value.parse().map_err(|_| self.wrong(name, &format!("'{value}' is of the wrong type")))
+    fn parse_value<T: FromStr>(&self, name: &str, value: &str) -> Result<T, AdapterError> {
+        value.parse().map_err(|_| self.field_error(name, FieldError::WrongType { value: value.to_string() }))
     }
 
-    pub fn need<T: FromStr>(&self, name: &str) -> Result<T, String> {
-        self.read(name, self.text(name)?)
+    /// The value of a field.
+    pub fn value<T: FromStr>(&self, name: &str) -> Result<T, AdapterError> {
+        self.parse_value(name, self.text(name)?)
     }
 
-    pub fn or<T: FromStr>(&self, name: &str, absent: T) -> Result<T, String> {
-        self.maybe(name).map_or(Ok(absent), |value| self.read(name, value))
+    /// The value of a field, or `default` if it is absent.
+    pub fn value_or<T: FromStr>(&self, name: &str, default: T) -> Result<T, AdapterError> {
+        match self.optional_text(name) {
+            Some(value) => self.parse_value(name, value),
+            None => Ok(default),
+        }
     }
 
-    pub fn number(&self, name: &str) -> Result<f64, String> {
-        let value: f64 = self.need(name)?;
-        if value.is_finite() { Ok(value) } else { Err(self.wrong(name, "it is not finite")) }
+    /// A finite number.
+    pub fn number(&self, name: &str) -> Result<f64, AdapterError> {
+        let number: f64 = self.value(name)?;
+        if number.is_finite() { Ok(number) } else { Err(self.field_error(name, FieldError::NotFinite)) }
     }
 
-    pub fn flag(&self, name: &str) -> Result<bool, String> {
-        match self.maybe(name) {
+    /// A flag; it is off if absent.
+    pub fn flag(&self, name: &str) -> Result<bool, AdapterError> {
+        match self.optional_text(name) {
             None | Some("0") => Ok(false),
             Some("1") => Ok(true),
-            Some(value) => Err(self.wrong(name, &format!("'{value}' is neither 1 nor 0"))),
+            Some(value) => Err(self.field_error(name, FieldError::NotAFlag { value: value.to_string() })),
         }
     }
 
-    /// A time in nanoseconds as whole microseconds.
-    pub fn micros(&self, name: &str) -> Result<i64, String> {
-        Ok(self.need::<i64>(name)?.div_euclid(1000))
+    /// A time, rounded down to microseconds.
+    pub fn micros(&self, name: &str) -> Result<Micros, AdapterError> {
+        Ok(self.value::<i64>(name)?.div_euclid(NANOSECONDS_PER_MICROSECOND))
     }
 
-    pub fn micros_or_zero(&self, name: &str) -> Result<i64, String> {
-        Ok(self.or::<i64>(name, 0)?.div_euclid(1000))
+    /// A time, rounded down to microseconds; 0 if absent.
+    pub fn micros_or_zero(&self, name: &str) -> Result<Micros, AdapterError> {
+        Ok(self.value_or::<i64>(name, 0)?.div_euclid(NANOSECONDS_PER_MICROSECOND))
     }
 
-    /// A code that `table` knows.
-    pub fn code<T>(&self, name: &str, table: fn(&str) -> Option<T>) -> Result<T, String> {
-        let value = self.text(name)?;
-        table(value).ok_or_else(|| self.wrong(name, &format!("'{value}' is unknown")))
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn fields_are_found_in_any_order_and_bad_ones_named() {
-        let line = Line::new(4, "VERDICT\ttrial=x\topId=7\tlagNs=1999\tgauge=a=b").expect("a line");
-        assert_eq!((line.need("opId"), line.micros("lagNs"), line.text("gauge")), (Ok(7), Ok(1), Ok("a=b")));
-        assert_eq!(
-            line.need::<usize>("trial"),
-            Err("line 4: VERDICT: trial: 'x' is of the wrong type".into())
-        );
-        assert_eq!(line.text("node"), Err("line 4: VERDICT: node: it is missing".into()));
-        assert!(Line::new(1, "TURN\tbare").is_err() && !line.flag("complete").expect("absent is off"));
+    /// A code, translated by `translate`.
+    pub fn code<T>(&self, name: &str, translate: fn(&str) -> Option<T>) -> Result<T, AdapterError> {
+        let code = self.text(name)?;
+        translate(code)
+            .ok_or_else(|| self.field_error(name, FieldError::UnknownValue { value: code.to_string() }))
     }
 }
--- a/crates/simulator-adapter/tests/transcript.rs
+++ b/crates/simulator-adapter/tests/transcript.rs
@@ -1,4 +1,4 @@
-//! A short hand-written transcript through the binary, and lines that it must turn down.
+//! Hand-written input for the binary: what it answers, and lines that it must reject.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -10,7 +10,7 @@
 ROSTER_CHANGE\trouter=router-1\tlist=0\thow=disk\trevision=1\n\
 EOB\n";
 
-/// What the binary writes, what it says is wrong, and whether it ended well.
+/// Runs the binary on `input`: its output, its errors, and whether it succeeded.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -22,13 +22,13 @@
     // The binary may end before it has read everything.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
-    let out = child.wait_with_output().expect("the binary ends");
+    let output = child.wait_with_output().expect("the binary ends");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
-    (text(out.stdout), text(out.stderr), out.status.success())
+    (text(output.stdout), text(output.stderr), output.status.success())
 }
 
 #[test]
-fn a_retrieval_is_served_and_the_end_of_input_is_a_clean_exit() {
+fn a_query_is_served_and_the_end_of_input_is_a_clean_exit() {
     let input = format!(
         "{START}TURN\tatTimeNs=6000000000\n\
          ACCEPT\trouter=router-1\topId=40\tlane=0\tquery=1\tshard=-1\theft=1\tvalidUntilNs=9000000000\n\
@@ -40,11 +40,11 @@
          EOB\n\
          TURN\tatTimeNs=6200000000\nHALT\trouter=router-1\nEOB\n"
     );
-    let (out, err, well) = run(&input);
-    assert!(well, "{err}");
-    let shots: Vec<&str> = out.lines().filter(|l| !l.starts_with("NOTIFY_ME")).collect();
+    let (output, errors, succeeded) = run(&input);
+    assert!(succeeded, "{errors}");
+    let lines: Vec<&str> = output.lines().filter(|line| !line.starts_with("NOTIFY_ME")).collect();
     assert_eq!(
-        shots,
+        lines,
         [
             "READY",
             "FORWARD\trouter=router-1\topId=41\tnode=10.0.0.1:7000\tallowForNs=0",
@@ -68,14 +68,14 @@
         ("INIT\trouter=router-1\tnonce64=7\tbootInfo={\n", "line 8: INIT: bootInfo: EOF"),
         ("", "the input ended inside a batch"),
     ];
-    for (line, why) in cases {
-        let (_, err, well) = run(&format!("{START}TURN\tatTimeNs=6000000000\n{line}"));
-        assert!(!well && err.contains(why), "{line} gave {err}");
+    for (line, message) in cases {
+        let (_, errors, succeeded) = run(&format!("{START}TURN\tatTimeNs=6000000000\n{line}"));
+        assert!(!succeeded && errors.contains(message), "{line} gave {errors}");
     }
 }
 
-/// A start with 340 nodes that each hold every shard, and a retrieval of 200 parts.
-fn large(extra: &str) -> String {
+/// A start with 340 nodes that each hold every shard, and a query of 200 shard requests.
+fn large_batch(extra: &str) -> String {
     let mut input = START.replace("\"sets\":1", "\"sets\":340").replace("\"width\":1", "\"width\":340");
     let rows: String = (1..340)
         .map(|i| format!("ITEM\tnode=10.0.{}.{}:7000\tposition={i}\tphase=ready\n", i / 256, i % 256))
@@ -92,14 +92,15 @@
 }
 
 #[test]
-fn a_fan_out_of_200_parts_over_340_nodes_is_sent_whole() {
-    let (out, err, well) = run(&large(""));
-    assert!(well, "{err}");
-    assert_eq!(out.lines().filter(|l| l.starts_with("FORWARD")).count(), 200);
+fn a_fan_out_of_200_shard_requests_over_340_nodes_is_sent_completely() {
+    let (output, errors, succeeded) = run(&large_batch(""));
+    assert!(succeeded, "{errors}");
+    assert_eq!(output.lines().filter(|line| line.starts_with("FORWARD")).count(), 200);
 }
 
 #[test]
 fn a_bad_line_in_a_large_batch_is_named_too() {
-    let (_, err, well) = run(&large("VERDICT\trouter=router-1\topId=7\ttrial=0\tnode=x\tlagNs=z\n"));
-    assert!(!well && err.contains("line 548: VERDICT: lagNs: 'z' is of the wrong type"), "{err}");
+    let (_, errors, succeeded) =
+        run(&large_batch("VERDICT\trouter=router-1\topId=7\ttrial=0\tnode=x\tlagNs=z\n"));
+    assert!(!succeeded && errors.contains("line 548: VERDICT: lagNs: 'z' is of the wrong type"), "{errors}");
 }
--- a/crates/test-servers/src/proxy.rs
+++ b/crates/test-servers/src/proxy.rs
@@ -2,6 +2,7 @@
 
 use crate::xds_messages::{WireRequest, WireResponse};
 use crate::{EndpointLoad, Reporter, Script, View, XdsClient};
+use ads::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,7 +13,6 @@
 use tonic::{Code, Status, Streaming};
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::service::discovery::v3 as ads;
-use xds_api::pb::envoy::service::discovery::v3::aggregated_discovery_service_client::AggregatedDiscoveryServiceClient;
 
 /// How long a test waits for a view.
 const MAX_WAIT: Duration = Duration::from_secs(30);
