--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,6 +1,6 @@
 //! The routers that run side by side, and the batches of events that the simulator sends them.
 
-use crate::codes;
+use crate::codes::{self, Event, Message};
 use crate::error::{AdapterError, FieldError, MessageError};
 use crate::instance::{Instance, ListedEndpoint};
 use crate::line::Line;
@@ -61,33 +61,36 @@
     /// Handles one line of input.
     pub fn handle_line(&mut self, number: usize, text: &str) -> Result<BatchStatus, AdapterError> {
         let line = Line::parse(number, text)?;
+        let message = codes::message(line.message);
         if let Some(list) = self.unfinished_list {
-            self.add_list_entry(&line, list)?;
+            self.add_list_entry(message, &line, list)?;
             return Ok(BatchStatus::Unfinished);
         }
-        if line.message == "TURN" {
-            self.start_batch(&line)?;
+        let Some(batch) = &self.batch else {
+            self.start_batch(message, &line)?;
             return Ok(BatchStatus::Unfinished);
-        }
-        let Some(batch) = &self.batch else { return Err(line.error(MessageError::OutsideBatch)) };
+        };
         let now = batch.now;
-        match line.message {
-            "EOB" => {
+        match message.ok_or_else(|| line.error(MessageError::Unknown))? {
+            Message::BatchStarted => return Err(line.error(MessageError::BatchNotEnded)),
+            Message::BatchEnded => {
                 self.end_batch();
                 return Ok(BatchStatus::Finished);
             }
-            "DIRECTORY" => self.start_list(&line)?,
-            "ITEM" => return Err(line.error(MessageError::NoListBegun)),
-            "INIT" => self.start_router(&line)?,
-            "HALT" => self.stop_router(&line)?,
-            _ => self.handle_router_event(now, &line)?,
+            Message::ListStarted => self.start_list(&line)?,
+            Message::ListEntry => return Err(line.error(MessageError::NoListBegun)),
+            Message::RouterStarted => self.start_router(&line)?,
+            Message::RouterStopped => self.stop_router(&line)?,
+            Message::EndpointsUpdated => self.update_endpoints(now, &line)?,
+            Message::Event(event) => self.handle_event(now, event, &line)?,
         }
         Ok(BatchStatus::Unfinished)
     }
 
-    fn start_batch(&mut self, line: &Line) -> Result<(), AdapterError> {
-        if self.batch.is_some() {
-            return Err(line.error(MessageError::BatchNotEnded));
+    /// Outside of a batch no other message may stand than one that starts a batch.
+    fn start_batch(&mut self, message: Option<Message>, line: &Line) -> Result<(), AdapterError> {
+        if message != Some(Message::BatchStarted) {
+            return Err(line.error(MessageError::OutsideBatch));
         }
         self.reply.clear();
         self.batch = Some(Batch { now: line.micros("atTimeNs")?, routers: Vec::new() });
@@ -113,9 +116,11 @@
         Ok(())
     }
 
-    fn add_list_entry(&mut self, line: &Line, list: UnfinishedList) -> Result<(), AdapterError> {
+    fn add_list_entry(
+        &mut self, message: Option<Message>, line: &Line, list: UnfinishedList,
+    ) -> Result<(), AdapterError> {
         let UnfinishedList { number, remaining } = list;
-        if line.message != "ITEM" {
+        if message != Some(Message::ListEntry) {
             return Err(line.error(MessageError::EntriesMissing { remaining }));
         }
         let endpoint = ListedEndpoint {
@@ -149,26 +154,34 @@
         Ok(())
     }
 
-    fn handle_router_event(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
+    fn update_endpoints(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
         let name = line.text("router")?;
         let instance = self.instances.get_mut(name).ok_or_else(|| unknown_router(line, name))?;
-        if line.message == "ROSTER_CHANGE" {
-            let update = line.code("how", codes::endpoint_update)?;
-            line.value_or::<i64>("revision", 0)?;
-            let endpoints = match update {
-                EndpointUpdate::Failed => &[],
-                _ => listed_endpoints(&self.endpoint_lists, line)?,
-            };
-            instance.endpoints_updated(now, update, endpoints, &mut self.reply);
-        } else {
-            instance.handle_event(now, line)?;
-        }
+        let update = line.code("how", codes::endpoint_update)?;
+        line.value_or::<i64>("revision", 0)?;
+        let endpoints = match update {
+            EndpointUpdate::Failed => &[],
+            _ => listed_endpoints(&self.endpoint_lists, line)?,
+        };
+        instance.endpoints_updated(now, update, endpoints, &mut self.reply);
+        self.add_router_to_batch(name);
+        Ok(())
+    }
+
+    fn handle_event(&mut self, now: Micros, event: Event, line: &Line) -> Result<(), AdapterError> {
+        let name = line.text("router")?;
+        let instance = self.instances.get_mut(name).ok_or_else(|| unknown_router(line, name))?;
+        instance.handle_event(now, event, line)?;
+        self.add_router_to_batch(name);
+        Ok(())
+    }
+
+    fn add_router_to_batch(&mut self, name: &str) {
         if let Some(batch) = &mut self.batch
             && !batch.routers.iter().any(|router| router == name)
         {
             batch.routers.push(name.to_string());
         }
-        Ok(())
     }
 }
 
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,7 +1,7 @@
 //! One router: its balancer, and the ids that the simulator uses for what the balancer knows by index.
 
-use crate::codes;
-use crate::error::{AdapterError, FieldError, MessageError};
+use crate::codes::{self, Event};
+use crate::error::{AdapterError, FieldError};
 use crate::line::Line;
 use crate::reply::{NO_DATA, Released, Reply};
 use balancer::{
@@ -161,17 +161,16 @@
         self.with_actions(output, |balancer, actions| balancer.decide(now, actions));
     }
 
-    /// Reports any event but an endpoint update.
-    pub fn handle_event(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
-        match line.message {
-            "ACCEPT" => self.request_arrived(now, line),
-            "VERDICT" => self.attempt_ended(now, line),
-            "STARTED" => self.response_started(now, line),
-            "CANCELLED_BY_CLIENT" => self.client_disconnected(now, line),
-            "TICK_DUE" => self.timer_expired(now, line),
-            "STATUS_BACK" => self.health_check_ended(now, line),
-            "DATAGRAM" => self.gossip_received(now, line),
-            _ => Err(line.error(MessageError::Unknown)),
+    /// Reports an event.
+    pub fn handle_event(&mut self, now: Micros, event: Event, line: &Line) -> Result<(), AdapterError> {
+        match event {
+            Event::RequestArrived => self.request_arrived(now, line),
+            Event::AttemptEnded => self.attempt_ended(now, line),
+            Event::ResponseStarted => self.response_started(now, line),
+            Event::ClientDisconnected => self.client_disconnected(now, line),
+            Event::TimerExpired => self.timer_expired(now, line),
+            Event::HealthCheckEnded => self.health_check_ended(now, line),
+            Event::GossipReceived => self.gossip_received(now, line),
         }
     }
 
