--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -20,9 +20,9 @@
     /// Checks both files and prints that they can be served with.
     pub fn run(self) -> Result<(), CliError> {
         let mut file = read_operator_file(self.operator)?;
-        file.log_format().map_err(CliError::operator_file)?;
-        Options::read(&mut file.section("control")).map_err(CliError::operator_file)?;
-        file.all_known().map_err(CliError::operator_file)?;
+        file.log_format()?;
+        Options::read(&mut file.section("control")).map_err(CliError::control_plane)?;
+        file.reject_unknown()?;
         let (config, _) = read_configuration(self.config)?;
         println!("{}: fit to serve", config.name);
         Ok(())
--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -32,8 +32,8 @@
     pub fn run(self) -> Result<(), CliError> {
         let mut file = read_operator_file(self.operator.clone())?;
         log_to_stderr(&mut file)?;
-        let options = Options::read(&mut file.section("control")).map_err(CliError::operator_file)?;
-        file.all_known().map_err(CliError::operator_file)?;
+        let options = Options::read(&mut file.section("control")).map_err(CliError::control_plane)?;
+        file.reject_unknown()?;
         let (config, path) = read_configuration(self.config.clone())?;
         if self.dump {
             self.print_resources(&config, options)
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -13,8 +13,8 @@
     #[error(transparent)]
     Configuration(#[from] ConfigFileError),
     /// The operator's file cannot be used.
-    #[error("{0}")]
-    OperatorFile(#[source] Box<dyn std::error::Error + Send + Sync>),
+    #[error(transparent)]
+    OperatorFile(#[from] operator_config::ConfigError),
     /// The query router cannot serve.
     #[error(transparent)]
     Serve(#[from] ServeError),
@@ -27,11 +27,6 @@
 }
 
 impl CliError {
-    /// Wraps an error in the operator's file.
-    pub fn operator_file(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> CliError {
-        CliError::OperatorFile(error.into())
-    }
-
     /// Wraps an error of the control plane.
     pub fn control_plane(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> CliError {
         CliError::ControlPlane(error.into())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -9,7 +9,7 @@
 
 use argh::FromArgs;
 use error::CliError;
-use operator_config::{File, LogFormat};
+use operator_config::{ConfigFile, LogFormat};
 use query_router::config::Config;
 use std::process::ExitCode;
 
@@ -38,18 +38,18 @@
 
 /// Reads the operator's file from `path`, or else from where `$YEWPIER_OPERATOR` says. Without either,
 /// everything that the file could enable is off.
-fn read_operator_file(path: Option<String>) -> Result<File, CliError> {
+fn read_operator_file(path: Option<String>) -> Result<ConfigFile, CliError> {
     let file = match path.or_else(|| std::env::var("YEWPIER_OPERATOR").ok()) {
-        Some(path) => File::read(&path),
-        None => File::parse("no operator's file", ""),
+        Some(path) => ConfigFile::read(&path),
+        None => ConfigFile::parse("no operator's file", ""),
     };
-    file.map_err(CliError::operator_file)
+    Ok(file?)
 }
 
 /// Has log lines written to standard error, in the format that the operator's file states.
-fn log_to_stderr(file: &mut File) -> Result<(), CliError> {
+fn log_to_stderr(file: &mut ConfigFile) -> Result<(), CliError> {
     let log = tracing_subscriber::fmt().with_writer(std::io::stderr).with_target(false);
-    match file.log_format().map_err(CliError::operator_file)? {
+    match file.log_format()? {
         LogFormat::Text => log.without_time().init(),
         LogFormat::Json => log.json().init(),
     }
--- a/crates/cli/tests/loopback/node_connections.rs
+++ b/crates/cli/tests/loopback/node_connections.rs
@@ -44,9 +44,9 @@
     router.wait_for_counter("node_connections_opened", 1);
     router.pause();
     let mut node_connection = node.accept();
-    let updates_sent = discovery.told();
-    discovery.tell(vec![member("a", &node.address.to_string(), "z", 0, "draining", 0)]);
-    discovery.wait_told(updates_sent + 1);
+    let updates_sent = discovery.updates_sent();
+    discovery.publish(vec![member("a", &node.address.to_string(), "z", 0, "draining", 0)]);
+    discovery.wait_for_updates_sent(updates_sent + 1);
     router.resume();
     router.wait_for_counter("endpoint_lists_incremental", 1);
     drop(client);
--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -9,7 +9,7 @@
 
 use balancer::{Micros, Settings};
 use serde_json::Value as Json;
-use settings_schema::names;
+use settings_schema::parse_settings;
 use std::net::SocketAddr;
 
 /// The bytes of a mebibyte, in which `limits.memory_mb` is stated.
@@ -74,7 +74,7 @@
         let json: Json = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let fields = Fields(&json);
         let settings = fields.required("settings")?;
-        let settings = names::settings(settings).map_err(|error| ConfigError::Settings(error.into()))?;
+        let settings = parse_settings(settings)?;
         let seed = fields.text("seed")?;
         let cached_endpoints = fields.cached_endpoints()?;
         fields.required("limits/sockets")?;
--- a/crates/query-router/src/config/error.rs
+++ b/crates/query-router/src/config/error.rs
@@ -1,6 +1,7 @@
 //! What can be wrong with a configuration.
 
 use serde_json::Value as Json;
+use settings_schema::SettingsError;
 use std::net::AddrParseError;
 use std::num::ParseIntError;
 
@@ -69,7 +70,7 @@
     },
     /// The settings of the deployment cannot be read.
     #[error("settings: {0}")]
-    Settings(#[source] Box<dyn std::error::Error + Send + Sync>),
+    Settings(#[from] SettingsError),
     /// No service class is configured, so no query could be served.
     #[error("settings.services: no service class is named")]
     NoServiceClass,
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -13,7 +13,7 @@
 use backoff::WatchBackoff;
 use balancer::{Endpoint, EndpointUpdate, Micros};
 use serde_json::Value as Json;
-use settings_schema::names::EndpointEntry;
+use settings_schema::EndpointEntry;
 use std::net::SocketAddr;
 
 /// After how long without a message a request counts as silent.
--- a/crates/query-router/src/router/endpoints.rs
+++ b/crates/query-router/src/router/endpoints.rs
@@ -2,8 +2,7 @@
 
 use crate::io::ConnectionId;
 use balancer::{EndpointState, Micros, NodeId};
-use settings_schema::ids::Ids;
-use settings_schema::names::EndpointEntry;
+use settings_schema::{EndpointEntry, IdInterner};
 use std::net::SocketAddr;
 use std::ops::{Index, IndexMut};
 
@@ -30,7 +29,7 @@
 #[derive(Default)]
 pub struct Endpoints {
     records: Vec<EndpointRecord>,
-    ids: Ids<String>,
+    ids: IdInterner<String>,
     updates: u64,
 }
 
@@ -42,7 +41,7 @@
 
     /// Stores an entry of the update; returns its node, a new one if discovery has not named it before.
     pub fn store(&mut self, entry: &EndpointEntry) -> NodeId {
-        let index = self.ids.take(entry.id.to_string());
+        let index = self.ids.intern(entry.id.to_string());
         if self.records.len() <= index {
             self.records.resize(index + 1, EndpointRecord::default());
         }
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -9,7 +9,7 @@
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use balancer::{AttemptOutcome, LoadMetric};
-use settings_schema::names;
+use settings_schema::parse_load_metrics;
 
 /// What a frame means.
 enum Received<'a> {
@@ -132,5 +132,5 @@
 }
 
 fn parse_load(text: &str) -> Option<Vec<LoadMetric<'_>>> {
-    names::load(text, '=')
+    parse_load_metrics(text, '=')
 }
