--- a/crates/balancer/examples/settle.rs
+++ b/crates/balancer/examples/decide_cost.rs
@@ -1,4 +1,4 @@
-//! What a settle costs and holds as the fleet grows: `cargo run --release --example settle -- NODES ROUTERS`.
+//! What a settle costs and holds as the fleet grows: `cargo run --release --example decide_cost -- NODES ROUTERS`.
 //! A router is asked five retrievals of 53 parts a second for 20 s of its own clock; each shot is answered in 20 ms.
 
 use balancer::{
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -61,20 +61,20 @@
 //! ```
 
 mod actions;
-mod balance;
 mod events;
 mod ids;
-mod samples;
+mod policy;
+mod query_table;
 mod settings;
-mod state;
+mod sliding_window;
 
 pub use actions::{Actions, Completion, EndpointHealth};
-pub use balance::Balancer;
 pub use events::{
     AttemptEnd, AttemptOutcome, Endpoint, EndpointState, EndpointUpdate, Events, HealthCheckEnd, LoadMetric,
     LoadReport, QueryArrival, ShardRequestArrival,
 };
 pub use ids::{AttemptId, AttemptNumber, NodeId, QueryId, ShardRequestId};
+pub use policy::Balancer;
 pub use settings::{Settings, Value};
 
 /// A point in time or a duration in whole microseconds.
--- a/crates/balancer/src/balance.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -7,9 +7,9 @@
 #[cfg(test)]
 mod tests;
 
-use crate::samples::Samples;
-use crate::state::Node;
-use crate::state::{Book, Class, Effect, NodeState, Part, Retrieval, Shards, Shot, Site};
+use crate::query_table::Node;
+use crate::query_table::{Book, Class, Effect, NodeState, Part, Retrieval, Shards, Shot, Site};
+use crate::sliding_window::Samples;
 use crate::{
     Actions, AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Completion, Endpoint, EndpointHealth,
     EndpointUpdate, Events, LoadReport, Micros, NodeId, QueryArrival, QueryId, Settings, ShardRequestArrival,
--- a/crates/balancer/src/state.rs
+++ b/crates/balancer/src/query_table.rs
@@ -1,6 +1,6 @@
 //! What a router holds of its nodes, retrievals and parts. Mechanics only: no decision is taken here.
 
-use crate::samples::Samples;
+use crate::sliding_window::Samples;
 use crate::{AttemptOutcome, EndpointState, Micros, Settings};
 use std::collections::BTreeMap;
 
