--- /dev/null
+++ b/crates/balancer/src/balancer.rs
@@ -0,0 +1,129 @@
+//! The balancer: what it keeps, and how events reach the decisions in [`policy`](crate::policy).
+
+use crate::policy::{MAX_CONCURRENCY_LIMIT, RETAINED};
+use crate::state::{
+    AdmissionState, DiscoveryState, FleetStatistics, NodeState, NodeTable, QueryTable, ServiceClass,
+    ShardMap, ShardRequest, SiteSettings, SlidingWindow,
+};
+use crate::{
+    Actions, AttemptEnd, Endpoint, EndpointUpdate, Events, LoadReport, Micros, NodeId, QueryArrival, QueryId,
+    Settings, ShardRequestArrival,
+};
+
+/// Decides for one router, from its settings and its own events.
+#[derive(Default)]
+pub struct Balancer {
+    pub(crate) settings: Settings,
+    pub(crate) site: SiteSettings,
+    pub(crate) classes: Vec<ServiceClass>,
+    pub(crate) random: fastrand::Rng,
+    pub(crate) nodes: NodeTable,
+    pub(crate) shards: ShardMap,
+    pub(crate) queries: QueryTable,
+    /// When the last decision began.
+    pub(crate) now: Micros,
+    pub(crate) statistics: FleetStatistics,
+    pub(crate) admission: AdmissionState,
+    pub(crate) discovery: DiscoveryState,
+    /// Retries and hedged attempts sent.
+    pub(crate) retries: SlidingWindow,
+}
+
+impl Balancer {
+    /// A balancer that knows no nodes; `seed` determines its random draws.
+    pub fn new(seed: u64, settings: Settings) -> Self {
+        Balancer {
+            shards: ShardMap::new(&settings),
+            site: SiteSettings::new(&settings),
+            settings,
+            random: fastrand::Rng::with_seed(seed),
+            statistics: FleetStatistics::new(&RETAINED),
+            admission: AdmissionState::new(&RETAINED),
+            retries: SlidingWindow::new(RETAINED.retries),
+            ..Default::default()
+        }
+    }
+
+    /// Grows the list of service classes to `count`.
+    pub(crate) fn ensure_classes(&mut self, count: usize) {
+        let missing = self.classes.len()..count;
+        self.classes.extend(missing.map(|class| ServiceClass::new(&self.settings, class, &RETAINED)));
+    }
+
+    /// A node of which nothing is known.
+    pub(crate) fn new_node(tie_break: f64) -> NodeState {
+        NodeState::new(tie_break, MAX_CONCURRENCY_LIMIT, &RETAINED)
+    }
+}
+
+impl Events for Balancer {
+    fn endpoint_update_started(&mut self, _now: Micros, update: EndpointUpdate) {
+        self.discovery.update = Some(update);
+        self.discovery.update_number += 1;
+    }
+
+    fn endpoint_listed(&mut self, now: Micros, endpoint: &Endpoint) {
+        let random = &mut self.random;
+        self.nodes.ensure(endpoint.node, || Self::new_node(random.f64()));
+        self.admission.reservations.resize(self.nodes.len(), 0);
+        let node = &mut self.nodes[endpoint.node];
+        node.apply(endpoint, self.discovery.update_number);
+        if endpoint.started_at > node.started_at {
+            node.restart(endpoint.started_at);
+            self.observe_restart(now, endpoint.started_at);
+        }
+    }
+
+    fn endpoint_update_finished(&mut self, now: Micros, actions: &mut dyn Actions) {
+        let Some(update) = self.discovery.update.take() else { return };
+        match update {
+            EndpointUpdate::Failed => self.delay_next_request(now, actions),
+            EndpointUpdate::Cached => {}
+            EndpointUpdate::Full | EndpointUpdate::Incremental => {
+                if self.discovery.update_arrived() {
+                    actions.log("registry back");
+                }
+            }
+        }
+        if matches!(update, EndpointUpdate::Full | EndpointUpdate::Cached) {
+            self.nodes.remove_unlisted(self.discovery.update_number);
+        }
+        self.shards.rebuild(&self.nodes);
+    }
+
+    fn query_arrived(&mut self, now: Micros, arrival: &QueryArrival) {
+        self.ensure_classes(arrival.class + 1);
+        self.enqueue(now, arrival);
+        self.admission.arrivals.push(now, 1.0);
+    }
+
+    fn shard_request_arrived(&mut self, now: Micros, arrival: &ShardRequestArrival) {
+        self.queries.insert_shard_request(arrival.shard_request, ShardRequest::new(arrival));
+        self.admission.arrivals.push(now, 1.0);
+    }
+
+    fn attempt_ended(&mut self, now: Micros, end: &AttemptEnd) {
+        let id = end.attempt.shard_request;
+        let Some(attempt) = self.nodes[end.node].take(id, end.attempt.number) else { return };
+        self.observe_attempt(now, &attempt, end);
+        self.queries.attempt_ended(id, end.node, end.outcome);
+    }
+
+    fn load_reported(&mut self, now: Micros, node: NodeId, report: &LoadReport) {
+        self.ensure_classes(ServiceClass::count_named(&self.settings));
+        self.nodes[node].load_reported(now, report.in_flight);
+        self.observe_report(now, node, report);
+    }
+
+    fn client_disconnected(&mut self, _now: Micros, query: QueryId) {
+        self.queries.close(query);
+    }
+
+    fn timer_expired(&mut self, _now: Micros, _token: u64) {
+        self.discovery.timer_at = None;
+    }
+
+    fn decide(&mut self, now: Micros, actions: &mut dyn Actions) {
+        self.decide_all(now, actions);
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/dispatch.rs
@@ -0,0 +1,61 @@
+//! Carries out decisions: sends and cancels attempts, ends queries, releases ids.
+
+use crate::state::{Assignment, InFlightAttempt};
+use crate::{Actions, Balancer, Completion, Micros, NodeId, QueryId, ShardRequestId};
+
+impl Balancer {
+    /// Sends an attempt that costs `work`, in a batch with the others that the node gets in this decision.
+    pub(crate) fn send(&mut self, now: Micros, assignment: Assignment, work: f64, actions: &mut dyn Actions) {
+        let Assignment { shard_request, node: id } = assignment;
+        let node = &mut self.nodes[id];
+        node.last_used = self.statistics.batches;
+        node.work_sent.push(now, work);
+        self.statistics.work_sent.push(now, work);
+        let idle_before = now - node.last_heard_at.min(now);
+        let number = self.queries[shard_request].attempt_sent(now, id, idle_before);
+        node.in_flight.push(InFlightAttempt { shard_request, number, sent_at: now, idle_before });
+        node.filled = node.in_flight.len() >= node.concurrency_limit as usize;
+        actions.send_attempt(shard_request, id, None);
+    }
+
+    /// Cancels the attempts at a shard request that are in flight, where that is possible.
+    pub(crate) fn cancel_attempts(&self, id: ShardRequestId, actions: &mut dyn Actions) {
+        if self.site.cancellation {
+            for attempt in self.queries.attempts_in_flight(id, &self.nodes) {
+                actions.cancel_attempt(attempt);
+            }
+        }
+    }
+
+    /// Gives the final answer to a query and cancels its attempts in flight.
+    pub(crate) fn finish(
+        &mut self, now: Micros, id: QueryId, completion: Completion, actions: &mut dyn Actions,
+    ) {
+        let query = &self.queries[id];
+        for &request in query.shard_requests.iter().filter(|&&request| !self.queries[request].is_answered()) {
+            self.cancel_attempts(request, actions);
+        }
+        actions.complete_query(id, completion);
+        if let (Completion::Complete, Some(admitted_at)) = (completion, query.admitted_at) {
+            self.classes[query.class].durations.push(now, (now - admitted_at) as f64);
+        }
+        self.queries.close(id);
+    }
+
+    /// Releases the queries and nodes that nothing refers to any more.
+    pub(crate) fn release_unused(&mut self, actions: &mut dyn Actions) {
+        for id in self.queries.release_ended() {
+            actions.release_query(id);
+        }
+        let is_unused = |id, node: &crate::state::NodeState| {
+            node.is_removed() && node.in_flight.is_empty() && !self.queries.refers_to(id)
+        };
+        let unused: Vec<NodeId> =
+            self.nodes.iter().filter(|&(id, node)| is_unused(id, node)).map(|(id, _)| id).collect();
+        for id in unused {
+            // Should the node come back, or another one get its id, it starts clean.
+            self.nodes[id] = Self::new_node(self.nodes[id].tie_break);
+            actions.release_node(id);
+        }
+    }
+}
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -60,21 +60,24 @@
 //! assert_eq!(recorder.0, ["send 2 to 5", "1 ends Complete"]);
 //! ```
 
+#![warn(missing_docs)]
+
 mod actions;
+mod balancer;
+mod dispatch;
 mod events;
 mod ids;
 mod policy;
-mod query_table;
 mod settings;
-mod sliding_window;
+mod state;
 
 pub use actions::{Actions, Completion, EndpointHealth};
+pub use balancer::Balancer;
 pub use events::{
     AttemptEnd, AttemptOutcome, Endpoint, EndpointState, EndpointUpdate, Events, HealthCheckEnd, LoadMetric,
     LoadReport, QueryArrival, ShardRequestArrival,
 };
 pub use ids::{AttemptId, AttemptNumber, NodeId, QueryId, ShardRequestId};
-pub use policy::Balancer;
 pub use settings::{Settings, Value};
 
 /// A point in time or a duration in whole microseconds.
--- /dev/null
+++ b/crates/balancer/src/policy/discovery.rs
@@ -0,0 +1,41 @@
+//! When to request the endpoint list, and the timer.
+
+use super::*;
+
+impl Balancer {
+    /// A node that has just restarted counts as one that crashed.
+    pub(crate) fn observe_restart(&mut self, now: Micros, started_at: Micros) {
+        if started_at > now - CRASH_MEMORY / 2 {
+            self.admission.crashes.push(now, 1.0);
+        }
+    }
+
+    /// Requests the endpoint list again later, after each failure for longer, with jitter.
+    pub(crate) fn delay_next_request(&mut self, now: Micros, actions: &mut dyn Actions) {
+        let discovery = &mut self.discovery;
+        discovery.watching = false;
+        discovery.failures = (discovery.failures + 1).min(3);
+        let delay = 500_000 << discovery.failures;
+        discovery.next_request_at = now + delay / 2 + self.random.i64(0..delay);
+        let milliseconds = (discovery.next_request_at - now) / 1000;
+        actions.log(&format!("registry out of reach, asked again in {milliseconds} ms"));
+    }
+
+    /// Requests the endpoint list where it must be polled, and keeps a timer while a query is open.
+    pub(super) fn schedule(&mut self, now: Micros, actions: &mut dyn Actions) {
+        let has_open_queries = !self.queries.open().is_empty();
+        let discovery = &mut self.discovery;
+        let poll_interval = self.site.poll_interval.filter(|_| !discovery.watching);
+        if let Some(interval) = poll_interval.filter(|_| now >= discovery.next_request_at) {
+            actions.watch_endpoints(true);
+            discovery.next_request_at = now + interval.max(1_000_000);
+        }
+        let next = now + self.site.decision_interval.max(1_000);
+        let at = if has_open_queries { next } else { discovery.next_request_at.max(next) };
+        let is_needed = poll_interval.is_some() || has_open_queries;
+        if is_needed && discovery.timer_at.is_none_or(|set| set > at || set <= now) {
+            actions.set_timer(at - now, 0);
+            discovery.timer_at = Some(at);
+        }
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -0,0 +1,139 @@
+//! Which queries start, wait, or are rejected.
+
+use super::rig::*;
+use super::*;
+
+/// A query of four shard requests with a minimum; the nodes of `rejecting` rejected attempts recently.
+fn partial_query(minimum: f64, rejecting: &[usize]) -> Balancer {
+    let mut balancer =
+        balancer("idempotent", &[("class.0.completeness_minimum", minimum), ("class.0.partial_value", 0.9)]);
+    for &node in rejecting {
+        let node = &mut balancer.nodes[NodeId(node)];
+        node.consecutive_rejections = 1;
+        node.rejecting_until = NOW - 1;
+    }
+    arrive(&mut balancer, 0, 4);
+    balancer
+}
+
+fn abandoned(balancer: &Balancer) -> usize {
+    (1..5).filter(|&id| balancer.queries[ShardRequestId(id)].is_abandoned()).count()
+}
+
+#[test]
+fn a_query_waits_unsent_at_the_concurrency_limit_and_is_rejected_in_the_end() {
+    let mut balancer = balancer("non_idempotent", &[]);
+    arrive(&mut balancer, 0, 12);
+    assert_eq!(decide(&mut balancer, NOW).len(), 12);
+    arrive(&mut balancer, 20, 6);
+    assert!(decide(&mut balancer, NOW).is_empty(), "four places are left for six shard requests");
+    assert_eq!(decide(&mut balancer, NOW + 999_000).last().map(String::as_str), Some("20 Rejected(0)"));
+}
+
+#[test]
+fn while_attempts_are_rejected_large_queries_are_paced() {
+    let sends = |rejections: &[f64], size: usize| {
+        let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 1.0)]);
+        rejections.iter().for_each(|&one| balancer.admission.rejections.push(NOW, one));
+        arrive(&mut balancer, 0, 2);
+        arrive(&mut balancer, 10, size);
+        let at_once = decide(&mut balancer, NOW).len();
+        (at_once, at_once + decide(&mut balancer, NOW + 900_000).len())
+    };
+    let (few, many) = ([&[1.0][..], &[0.0; 99]].concat(), [[1.0; 25], [0.0; 25]].concat());
+    assert_eq!(sends(&few, 2), (4, 4));
+    assert_eq!(sends(&many, 2), (2, 2));
+    let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 1.0)]);
+    balancer.admission.paced_until = NOW + 1;
+    arrive(&mut balancer, 0, 1);
+    assert_eq!(decide(&mut balancer, NOW).len(), 1);
+}
+
+#[test]
+fn the_last_try_of_a_client_shows_how_much_of_the_latency_objective_has_passed() {
+    let mut balancer = balancer("idempotent", &[("class.0.deadline_us", 3e6)]);
+    balancer.query_arrived(NOW, &query(0, NOW + 2_000_000, 1));
+    assert_eq!(balancer.queries[QueryId(0)].latency_objective, NOW + 1_000_000);
+    balancer.query_arrived(NOW, &query(1, NOW + 2_500_000, 1));
+    assert_eq!(balancer.queries[QueryId(1)].latency_objective, NOW + 500_000);
+}
+
+#[test]
+fn queries_beyond_a_tenants_quota_wait_behind_others() {
+    let mut balancer = balancer("idempotent", &[("tenant.0.quota_per_s", 1.0)]);
+    (0..4).for_each(|id| balancer.query_arrived(NOW, &query(id, NOW + 3_000_000, 1)));
+    assert_eq!((balancer.queries[QueryId(2)].queue_rank, balancer.queries[QueryId(3)].queue_rank), (0, 1));
+}
+
+#[test]
+fn nothing_is_sent_for_a_client_that_disconnected() {
+    let mut balancer = balancer("idempotent", &[]);
+    arrive(&mut balancer, 0, 1);
+    balancer.client_disconnected(NOW, QueryId(0));
+    assert!(decide(&mut balancer, NOW).is_empty());
+}
+
+#[test]
+fn a_query_that_crashes_nodes_is_rejected_and_its_retry_recognized() {
+    let mut balancer = balancer("idempotent", &[]);
+    arrive(&mut balancer, 0, 2);
+    assert_eq!(decide(&mut balancer, NOW).len(), 2);
+    end_attempt(&mut balancer, NOW + 5, attempt(1, 0), NodeId(0), AttemptOutcome::ConnectionLost, 5);
+    assert!(decide(&mut balancer, NOW + 5).is_empty(), "no retry while nothing was answered");
+    end_attempt(&mut balancer, NOW + 9, attempt(2, 0), NodeId(1), AttemptOutcome::ConnectionLost, 9);
+    assert_eq!(decide(&mut balancer, NOW + 9), ["0 Rejected(0)"]);
+    balancer.query_arrived(NOW + 20, &QueryArrival { is_retry: true, ..query(10, NOW + 3_000_000, 2) });
+    (11..13).for_each(|id| balancer.shard_request_arrived(NOW + 20, &shard_request(id, 10, 0, 0.5)));
+    assert_eq!(decide(&mut balancer, NOW + 20), ["10 Rejected(0)"]);
+}
+
+#[test]
+fn a_shard_request_under_which_a_node_crashed_is_retried_once_another_is_answered() {
+    let mut balancer = balancer("idempotent", &[]);
+    arrive(&mut balancer, 0, 2);
+    decide(&mut balancer, NOW);
+    end_attempt(&mut balancer, NOW + 5, attempt(1, 0), NodeId(0), AttemptOutcome::ConnectionLost, 5);
+    end_attempt(&mut balancer, NOW + 9, attempt(2, 0), NodeId(1), AttemptOutcome::Succeeded, 9);
+    assert_eq!(decide(&mut balancer, NOW + 9), ["send 1 1"]);
+}
+
+#[test]
+fn while_nodes_keep_crashing_a_canary_batch_goes_ahead() {
+    let mut balancer = balancer("idempotent", &[]);
+    (0..MAX_CRASHES).for_each(|_| balancer.admission.crashes.push(NOW, 1.0));
+    arrive(&mut balancer, 0, 2);
+    assert_eq!(decide(&mut balancer, NOW), ["send 1 0"]);
+    end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
+    assert_eq!(decide(&mut balancer, NOW + 9).len(), 1);
+}
+
+#[test]
+fn surplus_is_abandoned_where_all_replicas_reject_attempts() {
+    let abandoned_of = |minimum, rejecting: &[usize]| {
+        let mut balancer = partial_query(minimum, rejecting);
+        balancer.abandon_surplus(NOW, QueryId(0));
+        abandoned(&balancer)
+    };
+    // Half of what the minimum spares is a quarter: one shard request of four.
+    assert_eq!((abandoned_of(0.5, &[0, 1]), abandoned_of(0.5, &[0]), abandoned_of(1.0, &[0, 1])), (1, 0, 0));
+    // An old rejection does not count, nor does one that was followed by an answer.
+    let mut balancer = partial_query(0.5, &[0, 1]);
+    balancer.nodes[NodeId(0)].rejecting_until = NOW - RECENT - 1;
+    balancer.abandon_surplus(NOW, QueryId(0));
+    assert_eq!(abandoned(&balancer), 0);
+}
+
+#[test]
+fn a_rejected_shard_request_of_an_incomplete_query_is_abandoned() {
+    let mut balancer = partial_query(0.5, &[]);
+    assert_eq!(decide(&mut balancer, NOW).len(), 4);
+    end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Rejected, 9);
+    balancer.abandon_surplus(NOW + 9, QueryId(0));
+    assert_eq!(abandoned(&balancer), 0, "another replica may have capacity");
+    let mut balancer = partial_query(0.0, &[]);
+    decide(&mut balancer, NOW);
+    balancer.queries[ShardRequestId(4)].abandon();
+    end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Rejected, 9);
+    balancer.abandon_surplus(NOW + 9, QueryId(0));
+    assert!(balancer.queries[ShardRequestId(1)].is_abandoned());
+}
--- /dev/null
+++ b/crates/balancer/src/policy/tests/discovery.rs
@@ -0,0 +1,50 @@
+//! Endpoint updates and the requests for them.
+
+use super::rig::*;
+use super::*;
+
+#[test]
+fn a_draining_or_unlisted_node_gets_nothing_new() {
+    let mut balancer = balancer("idempotent", &[]);
+    update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Draining, 0)]);
+    assert_eq!(balancer.shards.replicas(0), [NodeId(1)]);
+    update_endpoints(&mut balancer, EndpointUpdate::Full, &[(0, EndpointState::Ready, 0)]);
+    assert_eq!(balancer.shards.replicas(0), [NodeId(0)]);
+    update_endpoints(&mut balancer, EndpointUpdate::Failed, &[]);
+    assert_eq!(balancer.shards.replicas(0), [NodeId(0)], "the old list is kept");
+}
+
+#[test]
+fn a_polled_list_is_requested_again_later_after_a_failure() {
+    let mut balancer = balancer("idempotent", &[]);
+    balancer.site.poll_interval = Some(10_000_000);
+    assert_eq!(decide(&mut balancer, NOW), ["watch true"]);
+    update_endpoints(&mut balancer, EndpointUpdate::Failed, &[]);
+    assert!(decide(&mut balancer, NOW + 499_000).is_empty());
+    assert_eq!(decide(&mut balancer, NOW + 1_500_000), ["watch true"]);
+    update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[]);
+    assert!(decide(&mut balancer, NOW + 60_000_000).is_empty());
+}
+
+#[test]
+fn a_removed_node_is_released_once_nothing_refers_to_it() {
+    for update in [EndpointUpdate::Incremental, EndpointUpdate::Full] {
+        let mut balancer = balancer("idempotent", &[]);
+        arrive(&mut balancer, 10, 1);
+        assert_eq!(decide(&mut balancer, NOW), ["send 11 0"]);
+        balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 3;
+        let nodes = [(0, EndpointState::Removed, 0), (1, EndpointState::Ready, 0)];
+        let nodes = if update == EndpointUpdate::Full { &nodes[1..] } else { &nodes[..] };
+        update_endpoints(&mut balancer, update, nodes);
+        assert!(decide(&mut balancer, NOW + 1).is_empty());
+        end_attempt(&mut balancer, NOW + 2, attempt(11, 0), NodeId(0), AttemptOutcome::Succeeded, 2);
+        assert_eq!(decide(&mut balancer, NOW + 2), ["10 Complete", "release 0"]);
+        update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, 0)]);
+        assert_eq!(balancer.preference(NOW + 3, NodeId(0), 0), Preference::Healthy, "its id starts clean");
+        assert!(decide(&mut balancer, NOW + 3).is_empty());
+    }
+    // A draining node is not removed: its attempts may still be answered.
+    let mut balancer = balancer("idempotent", &[]);
+    update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Draining, 0)]);
+    assert!(decide(&mut balancer, NOW).is_empty());
+}
--- /dev/null
+++ b/crates/balancer/src/policy/tests/health.rs
@@ -0,0 +1,148 @@
+//! What attempts teach about nodes.
+
+use super::rig::*;
+use super::*;
+
+#[test]
+fn a_failed_connection_is_not_held_against_a_node_that_answered_meanwhile() {
+    for (answered, ejected) in [(NOW + 100_000, false), (NOW - 100_000, true)] {
+        let mut balancer = balancer("idempotent", &[]);
+        balancer.learn(answered, observation(0, 0, AttemptOutcome::Succeeded, 5));
+        balancer.learn(NOW + 250_000, observation(0, 0, AttemptOutcome::ConnectFailed, 250_000));
+        let node = &balancer.nodes[NodeId(0)];
+        assert_eq!(
+            (node.class_record(0).ejected_until > NOW + 250_000, node.last_outage_at > 0),
+            (ejected, ejected)
+        );
+    }
+}
+
+#[test]
+fn a_failing_node_is_ejected_for_longer_each_time_until_it_restarts() {
+    let mut balancer = balancer("idempotent", &[]);
+    balancer.learn(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
+    balancer.learn(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
+    assert_eq!(
+        (
+            balancer.nodes[NodeId(0)].class_record(0).strikes,
+            balancer.nodes[NodeId(0)].class_record(0).ejected_until
+        ),
+        (1, NOW + 500_000)
+    );
+    balancer.learn(NOW + 500_000, observation(0, 0, AttemptOutcome::ServerError, 5));
+    assert_eq!(balancer.nodes[NodeId(0)].class_record(0).ejected_until, NOW + 1_500_000);
+    update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW + 600_000)]);
+    assert_eq!(balancer.nodes[NodeId(0)].class_record(0).ejected_until, 0);
+}
+
+#[test]
+fn a_rejecting_node_is_not_used_until_it_answers() {
+    let mut balancer = balancer("idempotent", &[]);
+    balancer.learn(NOW, observation(0, 0, AttemptOutcome::Rejected, 5));
+    assert_eq!(balancer.preference(NOW + 50_000, NodeId(0), 0), Preference::Unavailable);
+    balancer.learn(NOW + 60_000, observation(0, 0, AttemptOutcome::Succeeded, 5));
+    assert_eq!(balancer.preference(NOW + 60_000, NodeId(0), 0), Preference::Healthy);
+}
+
+#[test]
+fn latencies_near_the_objective_reduce_the_concurrency_limit() {
+    let mut balancer = balancer("idempotent", &[]);
+    balancer.adjust_concurrency_limit(NOW, observation(0, 0, AttemptOutcome::Succeeded, 600_000));
+    assert!(balancer.nodes[NodeId(0)].concurrency_limit < 3.0);
+    balancer.adjust_concurrency_limit(NOW + 1, observation(0, 0, AttemptOutcome::Succeeded, 100_000));
+    assert!(balancer.nodes[NodeId(0)].concurrency_limit > 2.0);
+}
+
+#[test]
+fn an_unreachable_node_counts_as_warming_up_until_it_answers_in_time() {
+    let mut balancer = balancer("idempotent", &[]);
+    let rule = &mut balancer.site.cold_overload;
+    (rule.window, rule.multiple) = (3_000_000, 1.0);
+    (rule.initial_capacity, rule.warm_up) = (0.1, 10_000_000);
+    balancer.nodes[NodeId(0)].work_sent.push(NOW, 1e6);
+    assert!(balancer.has_cold_capacity(NOW, NodeId(0), 1, 0));
+    balancer.learn(NOW, observation(0, 0, AttemptOutcome::ConnectFailed, 5));
+    assert!(!balancer.has_cold_capacity(NOW, NodeId(0), 1, 0));
+    // Unreachable after a lost connection counts as a crash; an answer in time shows that the node is warm.
+    assert!(
+        balancer.nodes[NodeId(0)].class_record(0).ejected_until > NOW
+            && balancer.admission.crashes.count(0) == 0
+    );
+    balancer.learn(NOW + 1, observation(1, 0, AttemptOutcome::ConnectionLost, 5));
+    balancer.learn(NOW + 2, observation(1, 0, AttemptOutcome::ConnectFailed, 5));
+    assert_eq!(balancer.admission.crashes.count(0), 1);
+    balancer.learn(NOW + 2, observation(0, 0, AttemptOutcome::Succeeded, 500_000));
+    assert!(!balancer.has_cold_capacity(NOW + 2, NodeId(0), 1, 0));
+    balancer.learn(NOW + 3, observation(0, 0, AttemptOutcome::Succeeded, 50_000));
+    assert!(balancer.has_cold_capacity(NOW + 3, NodeId(0), 1, 0));
+}
+
+#[test]
+fn cross_zone_latency_is_not_held_against_a_node() {
+    let mut balancer = balancer("idempotent", &[]);
+    balancer.statistics.cross_zone = vec![0, 400_000];
+    balancer.nodes[NodeId(1)].zone = 1;
+    balancer.adjust_concurrency_limit(NOW, observation(1, 0, AttemptOutcome::Succeeded, 600_000));
+    assert_eq!(balancer.nodes[NodeId(1)].concurrency_limit, MAX_CONCURRENCY_LIMIT);
+}
+
+#[test]
+fn idle_connections_are_distrusted_when_only_long_idle_times_end_in_losses() {
+    let mut balancer = balancer("idempotent", &[]);
+    (0..8).for_each(|_| balancer.observe_idle(NOW, false, 500_000));
+    (0..2).for_each(|_| balancer.observe_idle(NOW, true, 3_000_000));
+    assert_eq!(balancer.statistics.max_idle, 3_000_000);
+    (0..20).for_each(|_| balancer.observe_idle(NOW, true, 200_000));
+    assert_eq!(
+        balancer.statistics.max_idle, 200_000,
+        "losses after short idle times too are not put down to long ones"
+    );
+}
+
+#[test]
+fn a_silence_is_not_held_against_a_class_that_was_answered() {
+    let mut balancer = balancer("idempotent", &[]);
+    balancer.classes.push(balancer.classes[0].clone());
+    balancer.nodes[NodeId(0)].class_record_mut(1).last_success_at = NOW;
+    balancer.learn(NOW + 5, observation(0, 0, AttemptOutcome::TimedOut, 2_000_000));
+    assert_eq!(
+        (
+            balancer.nodes[NodeId(0)].class_record(0).strikes,
+            balancer.nodes[NodeId(0)].class_record(1).strikes
+        ),
+        (1, 0)
+    );
+}
+
+#[test]
+fn a_suspect_node_gets_one_batch_at_a_time_until_it_answers() {
+    for outcome in [AttemptOutcome::MalformedResponse, AttemptOutcome::ConnectionLost] {
+        let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 4.0)]);
+        assert_eq!(after_first_attempt(&mut balancer, outcome, NOW + 9), ["send 11 1"]);
+        balancer.learn(NOW + 10, observation(0, 0, outcome, 9));
+        let node = &balancer.nodes[NodeId(0)];
+        assert_eq!(
+            (node.class_record(0).ejected_until, node.last_outage_at, balancer.admission.crashes.count(0)),
+            (0, 0, 0)
+        );
+        assert_eq!(
+            (balancer.preference(NOW + 11, NodeId(0), 0), balancer.capacity(NodeId(0), 0, 0)),
+            (Preference::Healthy, 4)
+        );
+        balancer.nodes[NodeId(0)].in_flight.push(InFlightAttempt {
+            shard_request: ShardRequestId(50),
+            number: AttemptNumber(0),
+            sent_at: NOW,
+            idle_before: 0,
+        });
+        assert_eq!(
+            (balancer.preference(NOW + 11, NodeId(0), 0), balancer.capacity(NodeId(0), 0, 0)),
+            (Preference::Usable, 0)
+        );
+        balancer.learn(NOW + 12, observation(0, 0, AttemptOutcome::Succeeded, 9));
+        assert_eq!(
+            (balancer.preference(NOW + 12, NodeId(0), 0), balancer.capacity(NodeId(0), 0, 0)),
+            (Preference::Healthy, 7)
+        );
+    }
+}
--- /dev/null
+++ b/crates/balancer/src/policy/tests/selection.rs
@@ -0,0 +1,148 @@
+//! Which node gets a shard request.
+
+use super::rig::*;
+use super::*;
+
+#[test]
+fn a_query_fans_out_to_the_least_recently_used_nodes_and_completes_once_all_have_answered() {
+    let mut balancer = balancer("idempotent", &[]);
+    arrive(&mut balancer, 0, 2);
+    assert_eq!(decide(&mut balancer, NOW), ["send 1 0", "send 2 1"]);
+    end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
+    assert!(decide(&mut balancer, NOW + 9).is_empty());
+    end_attempt(&mut balancer, NOW + 10, attempt(2, 0), NodeId(1), AttemptOutcome::Succeeded, 10);
+    assert_eq!(decide(&mut balancer, NOW + 10), ["0 Complete"]);
+}
+
+#[test]
+fn routers_without_measurements_start_at_different_nodes() {
+    let first = |seed| {
+        let mut balancer = balancer("idempotent", &[]);
+        balancer.random = fastrand::Rng::with_seed(seed);
+        balancer.nodes.clear();
+        update_endpoints(
+            &mut balancer,
+            EndpointUpdate::Cached,
+            &[(0, EndpointState::Ready, 0), (1, EndpointState::Ready, 0)],
+        );
+        arrive(&mut balancer, 0, 1);
+        decide(&mut balancer, NOW)
+    };
+    let at_one = (0..100).filter(|&seed| first(seed) == ["send 1 1"]).count();
+    assert!((30..=70).contains(&at_one), "{at_one} of 100 begin at node 1");
+}
+
+#[test]
+fn shard_requests_share_a_batch_where_batches_carry_several() {
+    let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 4.0)]);
+    arrive(&mut balancer, 0, 2);
+    assert_eq!(decide(&mut balancer, NOW), ["send 1 0", "send 2 0"]);
+}
+
+#[test]
+fn a_non_idempotent_shard_request_avoids_a_node_that_failed_recently() {
+    let mut balancer = balancer("non_idempotent", &[]);
+    balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 1;
+    arrive(&mut balancer, 0, 1);
+    assert_eq!(decide(&mut balancer, NOW), ["send 1 1"]);
+}
+
+#[test]
+fn a_filled_node_is_used_again_for_a_full_batch() {
+    let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 4.0)]);
+    arrive(&mut balancer, 0, 8);
+    decide(&mut balancer, NOW);
+    arrive(&mut balancer, 20, 8);
+    assert_eq!(decide(&mut balancer, NOW).len(), 8);
+    balancer.now = NOW + 9;
+    for id in 1..4 {
+        end_attempt(&mut balancer, NOW + 9, attempt(id, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
+    }
+    assert_eq!(balancer.capacity(NodeId(0), 0, 0), 0);
+    end_attempt(&mut balancer, NOW + 9, attempt(4, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
+    assert_eq!(balancer.capacity(NodeId(0), 0, 0), 4);
+}
+
+#[test]
+fn a_warming_node_gets_no_more_than_this_routers_share() {
+    let cold = [
+        ("rules.warm_up_us", 1e7),
+        ("rules.cold_overload_window_us", 3e6),
+        ("rules.cold_capacity_share", 0.2),
+    ];
+    let mut balancer = balancer("idempotent", &cold);
+    (balancer.site.cold_overload.multiple, balancer.site.routers) = (2.0, 3.0);
+    update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW)]);
+    // 2 x 0.2 x 3 s / 3 is 400 ms of work; a shard request counts as 100 ms until latencies are known.
+    assert!(
+        balancer.has_cold_capacity(NOW, NodeId(0), 4, 0) && !balancer.has_cold_capacity(NOW, NodeId(0), 5, 0)
+    );
+    balancer.nodes[NodeId(0)].work_sent.push(NOW, 100_001.0);
+    assert!(
+        !balancer.has_cold_capacity(NOW, NodeId(0), 3, 0)
+            && balancer.has_cold_capacity(NOW + 10_000_000, NodeId(0), 3, 0)
+    );
+}
+
+#[test]
+fn among_many_routers_a_warming_node_gets_a_batch_once_its_allowance_is_saved_up() {
+    let cold = [("rules.warm_up_us", 1e7), ("rules.cold_overload_window_us", 3e6), ("routers", 100.0)];
+    let mut balancer = balancer("idempotent", &cold);
+    update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW)]);
+    balancer.statistics.mean_work_rate = 0.1;
+    assert!(
+        !balancer.has_cold_capacity(NOW, NodeId(0), 1, 0)
+            && balancer.has_cold_capacity(NOW + 1_000_000, NodeId(0), 1, 0)
+    );
+    balancer.nodes[NodeId(0)].work_sent.push(NOW + 1_000_000, 100_000.0);
+    assert!(
+        !balancer.has_cold_capacity(NOW + 1_500_000, NodeId(0), 1, 0)
+            && balancer.has_cold_capacity(NOW + 2_000_000, NodeId(0), 1, 0)
+    );
+}
+
+#[test]
+fn the_mean_work_rate_counts_from_the_start_of_the_router() {
+    // Half a second of work at two nodes within a second of the first decision, or within ten.
+    let average = |up: Micros| {
+        let mut balancer = balancer("idempotent", &[]);
+        balancer.refresh_statistics(NOW - up);
+        balancer.statistics.work_sent.push(NOW - 10, 500_000.0);
+        balancer.refresh_statistics(NOW);
+        balancer.statistics.mean_work_rate
+    };
+    assert_eq!((average(1_000_000), average(10_000_000), average(90_000_000)), (0.25, 0.025, 0.025));
+}
+
+#[test]
+fn among_many_routers_a_small_limit_is_a_pause_and_a_suspect_node_gets_one_shard_request() {
+    let mut balancer = balancer("idempotent", &[("routers", 64.0), ("batch.max_shard_requests", 4.0)]);
+    balancer.nodes[NodeId(0)].concurrency_limit = 1.0;
+    balancer.adjust_concurrency_limit(NOW, observation(0, 0, AttemptOutcome::Succeeded, 500_000));
+    assert!(balancer.nodes[NodeId(0)].resumes_at > NOW + 1_000_000);
+    balancer.now = NOW + 1_000_000;
+    assert_eq!(balancer.capacity(NodeId(0), 0, 0), 0);
+    balancer.now = NOW + 5_000_000;
+    assert_eq!(balancer.capacity(NodeId(0), 0, 0), 4);
+    balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 1;
+    assert_eq!(balancer.capacity(NodeId(0), 0, 0), 1);
+}
+
+#[test]
+fn a_non_idempotent_shard_request_avoids_a_node_that_fails_a_tenth_of_its_attempts() {
+    let mut balancer = balancer("non_idempotent", &[]);
+    for offset in 0..10 {
+        balancer.learn(NOW + offset, observation(0, 0, AttemptOutcome::Succeeded, 9));
+    }
+    balancer.learn(NOW + 10, observation(0, 0, AttemptOutcome::ConnectionLost, 9));
+    balancer.learn(NOW + 11, observation(0, 0, AttemptOutcome::Succeeded, 9));
+    assert_eq!(balancer.preference(NOW + 11, NodeId(0), 0), Preference::Healthy);
+    balancer.learn(NOW + 12, observation(0, 0, AttemptOutcome::ConnectionLost, 9));
+    balancer.learn(NOW + 13, observation(0, 0, AttemptOutcome::Succeeded, 9));
+    assert_eq!(balancer.preference(NOW + 13, NodeId(0), 0), Preference::Usable);
+    assert_eq!(
+        balancer.preference(NOW + 13 + RECENT, NodeId(0), 0),
+        Preference::Healthy,
+        "failures are forgotten in time"
+    );
+}
--- /dev/null
+++ b/crates/balancer/src/state/mod.rs
@@ -0,0 +1,35 @@
+//! What the balancer keeps between decisions. No decision is taken and no value is tuned here.
+
+mod admission_state;
+mod candidate;
+mod discovery_state;
+mod fleet_statistics;
+mod node;
+mod node_table;
+mod observation;
+mod plan;
+mod query;
+mod query_table;
+mod samples_retained;
+mod service_class;
+mod shard_map;
+mod shard_request;
+mod site_settings;
+mod sliding_window;
+
+pub use admission_state::AdmissionState;
+pub use candidate::{Candidate, Choice, LimitCheck, Preference};
+pub use discovery_state::DiscoveryState;
+pub use fleet_statistics::FleetStatistics;
+pub use node::{InFlightAttempt, NodeState, SlowStart};
+pub use node_table::NodeTable;
+pub use observation::{Observation, Silence};
+pub use plan::{Assignment, Plan};
+pub use query::Query;
+pub use query_table::{Progress, QueryTable};
+pub use samples_retained::SamplesRetained;
+pub use service_class::{Completeness, Idempotency, ServiceClass};
+pub use shard_map::ShardMap;
+pub use shard_request::{Repeat, ShardRequest};
+pub use site_settings::SiteSettings;
+pub use sliding_window::SlidingWindow;
