--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -18,8 +18,8 @@
     Failed,
 }
 
-/// The condition of a node at this instant, for front ends that pass decisions on to other proxies. `capacity` is
-/// how many shard requests all routers together may have in flight there.
+/// The condition of a node at this instant, for front ends that pass decisions on to other proxies.
+/// `capacity` is how many shard requests all routers together may have in flight there.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointHealth {
     /// It may be used up to its capacity.
@@ -55,8 +55,8 @@
     fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>);
     /// Cancels an attempt.
     fn cancel_attempt(&mut self, attempt: AttemptId) {}
-    /// Gives the final answer. With a second step, the first `Complete` or `Partial` brings further shard requests
-    /// instead.
+    /// Gives the final answer. With a second step, the first `Complete` or `Partial` brings further shard
+    /// requests instead.
     fn complete_query(&mut self, query: QueryId, completion: Completion);
     /// The query has ended and none of its attempts is in flight: its identifiers may be reused.
     fn release_query(&mut self, query: QueryId) {}
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -39,7 +39,7 @@
             random: fastrand::Rng::with_seed(seed),
             statistics: FleetStatistics::new(&RETAINED),
             admission: AdmissionState::new(&RETAINED),
-            retries: SlidingWindow::new(RETAINED.retries),
+            retries: SlidingWindow::new(RETAINED.sends),
             ..Default::default()
         }
     }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers that a front end hands out. Each is a small index that is reused once the balancer has released it.
+//! Identifiers that a front end hands out. Each is a small index that is reused once the balancer has
+//! released it.
 
 /// A data node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,10 +1,12 @@
 //! The decisions of the query router, without I/O.
 //!
-//! A query asks for several shards. The balancer decides which data node gets each shard request, when an attempt is
-//! retried or hedged, what is rejected under load, and when the query is complete. A front end translates its
-//! protocol into calls of [`Events`] and carries out what the balancer asks for through [`Actions`].
+//! A query asks for several shards. The balancer decides which data node gets each shard request, when an
+//! attempt is retried or hedged, what is rejected under load, and when the query is complete. A front end
+//! translates its protocol into calls of [`Events`] and carries out what the balancer asks for through
+//! [`Actions`].
 //!
-//! All times are whole microseconds. Nodes, queries and shard requests are small indices that the front end hands out.
+//! All times are integers in microseconds. Nodes, queries and shard requests are small indices that the front
+//! end hands out.
 //!
 //! ```
 //! use balancer::*;
@@ -21,41 +23,47 @@
 //! }
 //!
 //! let mut settings = Settings::default();
-//! for (name, value) in
-//!     [("shards.replica_sets", 1.0), ("shards.replica_sets_per_shard", 1.0), ("class.0.latency_objective_us", 1e6)]
-//! {
-//!     settings.set(name, Value::Number(value));
-//! }
+//! settings.set("shards.replica_sets", Value::Number(1.0));
+//! settings.set("shards.replica_sets_per_shard", Value::Number(1.0));
+//! settings.set("class.0.latency_objective_us", Value::Number(1e6));
 //! let (mut balancer, mut recorder) = (Balancer::new(7, settings), Recorder::default());
 //! let (node, query, shard_request) = (NodeId(5), QueryId(1), ShardRequestId(2));
+//!
+//! // Discovery lists a node, and a client sends a query for one shard.
+//! let endpoint = Endpoint {
+//!     node,
+//!     zone: 0,
+//!     replica_set: 0,
+//!     state: EndpointState::Ready,
+//!     scale: 1.0,
+//!     started_at: 0,
+//! };
 //! balancer.endpoint_update_started(0, EndpointUpdate::Full);
-//! let state = EndpointState::Ready;
-//! balancer.endpoint_listed(0, &Endpoint { node, zone: 0, replica_set: 0, state, scale: 1.0, started_at: 0 });
+//! balancer.endpoint_listed(0, &endpoint);
 //! balancer.endpoint_update_finished(0, &mut recorder);
-//! balancer.query_arrived(
-//!     0,
-//!     &QueryArrival {
-//!         query,
-//!         class: 0,
-//!         tenant: 0,
-//!         deadline: 2_000_000,
-//!         work: 0,
-//!         shard_requests: 1,
-//!         is_retry: false,
-//!     },
-//! );
-//! balancer.shard_request_arrived(0, &ShardRequestArrival { shard_request, query, shard: 0, weight: 1.0, work: 0 });
+//! let arrival = QueryArrival {
+//!     query,
+//!     class: 0,
+//!     tenant: 0,
+//!     deadline: 2_000_000,
+//!     work: 0,
+//!     shard_requests: 1,
+//!     is_retry: false,
+//! };
+//! balancer.query_arrived(0, &arrival);
+//! let arrival = ShardRequestArrival { shard_request, query, shard: 0, weight: 1.0, work: 0 };
+//! balancer.shard_request_arrived(0, &arrival);
 //! balancer.decide(0, &mut recorder);
-//! balancer.attempt_ended(
-//!     90_000,
-//!     &AttemptEnd {
-//!         attempt: AttemptId::new(shard_request, AttemptNumber(0)),
-//!         node,
-//!         outcome: AttemptOutcome::Succeeded,
-//!         latency: 90_000,
-//!         load: &[],
-//!     },
-//! );
+//!
+//! // The node answers after 90 ms.
+//! let end = AttemptEnd {
+//!     attempt: AttemptId::new(shard_request, AttemptNumber(0)),
+//!     node,
+//!     outcome: AttemptOutcome::Succeeded,
+//!     latency: 90_000,
+//!     load: &[],
+//! };
+//! balancer.attempt_ended(90_000, &end);
 //! balancer.decide(90_000, &mut recorder);
 //! assert_eq!(recorder.0, ["send 2 to 5", "1 ends Complete"]);
 //! ```
@@ -80,5 +88,5 @@
 pub use ids::{AttemptId, AttemptNumber, NodeId, QueryId, ShardRequestId};
 pub use settings::{Settings, Value};
 
-/// A point in time or a duration in whole microseconds.
+/// A point in time or a duration in microseconds.
 pub type Micros = i64;
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -11,7 +11,7 @@
         self.queries.insert(arrival.query, query);
     }
 
-    /// Departure: a client's last try lasts for the rest of its deadline, which shows how much has passed.
+    /// Deviation: a client's last try lasts for the rest of its deadline, which shows how much has passed.
     fn latency_objective_of(&mut self, now: Micros, arrival: &QueryArrival) -> Micros {
         let class = &mut self.classes[arrival.class];
         let left = (arrival.deadline - now) as f64;
@@ -59,14 +59,14 @@
             return Step::Wait;
         }
         self.abandon_surplus(now, id);
-        let unsent = self.queries.unsent(id);
-        let mut plan = self.plan(now, &unsent);
+        let not_attempted = self.queries.not_attempted(id);
+        let mut plan = self.plan(now, &not_attempted);
         if is_new {
-            if plan.assignments.len() < unsent.len() && !self.reaches_minimum(id, &plan) {
-                self.reserve(now, unsent, plan);
+            if plan.assignments.len() < not_attempted.len() && !self.reaches_minimum(id, &plan) {
+                self.reserve(now, not_attempted, plan);
                 return Step::Wait;
             }
-            // Departure: while nodes crash, the first batch goes ahead of the rest; see `wait_for_canary`.
+            // Deviation: while nodes crash, the first batch goes ahead of the rest; see `wait_for_canary`.
             if self.admission.canaries {
                 plan.retain_first_node();
             }
@@ -79,7 +79,7 @@
         Step::Continue
     }
 
-    /// Departure: a query may start with what its minimum requires; the rest follows once there is capacity.
+    /// Deviation: a query may start with what its minimum requires; the rest follows once there is capacity.
     fn reaches_minimum(&self, id: QueryId, plan: &Plan) -> bool {
         let minimum = self.classes[self.queries[id].class].completeness_minimum;
         let weight = |assignment: &Assignment| self.queries[assignment.shard_request].weight;
@@ -87,14 +87,14 @@
     }
 
     /// Reserves places for what has no node, so that smaller queries do not overtake a waiting one for ever.
-    fn reserve(&mut self, now: Micros, mut unsent: Vec<ShardRequestId>, plan: Plan) {
-        plan.retain_unassigned(&mut unsent);
+    fn reserve(&mut self, now: Micros, mut not_attempted: Vec<ShardRequestId>, plan: Plan) {
+        plan.retain_unassigned(&mut not_attempted);
         let pick = |&id| self.pick(now, &[id], &Plan::default(), LimitCheck::Ignored);
-        let choices: Vec<Choice> = unsent.iter().filter_map(pick).filter(Choice::is_usable).collect();
+        let choices: Vec<Choice> = not_attempted.iter().filter_map(pick).filter(Choice::is_usable).collect();
         self.admission.reserve(&choices);
     }
 
-    /// Departure: half of what the minimum spares is abandoned where nodes reject attempts. Guards against
+    /// Deviation: half of what the minimum spares is abandoned where nodes reject attempts. Guards against
     /// queries that need only some answers and take capacity of an overloaded replica set from others.
     pub(super) fn abandon_surplus(&mut self, now: Micros, id: QueryId) {
         let query = &self.queries[id];
@@ -132,7 +132,7 @@
         (size as f64 * factor.min(MAX_PACING_FACTOR) / arrival_rate) as Micros
     }
 
-    /// Decides whether so many nodes crashed of late that a canary attempt goes ahead of each query.
+    /// Decides whether so many nodes crashed recently that a canary attempt goes ahead of each query.
     pub(super) fn update_canary_mode(&mut self, now: Micros, actions: &mut dyn Actions) {
         let crashes = self.admission.crashes.count(now - CRASH_MEMORY);
         let canaries = crashes >= MAX_CRASHES;
@@ -150,8 +150,8 @@
             return Step::Continue;
         }
         let in_flight = self.queries.in_flight(id);
-        let is_overdue = || now - in_flight.last_sent_at > self.overdue_after(query.class, NodeId(0));
-        if in_flight.attempts > 0 && !is_overdue() {
+        let is_late = || now - in_flight.last_sent_at > self.late_after(query.class, NodeId(0));
+        if in_flight.attempts > 0 && !is_late() {
             return Step::Wait;
         }
         if in_flight.attempts > 0 || query.crashed_nodes.len() < 2 {
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Departure: a partial answer at the latency objective may be worth more than a complete one later.
+    /// Deviation: a partial answer at the latency objective may be worth more than a complete one later.
     fn partial_answer_at(&self, query: &Query, progress: &Progress, required: f64) -> Micros {
         let class = &self.classes[query.class];
         let is_worth_more = class.partial_value * progress.answered / required > class.late_value;
--- a/crates/balancer/src/policy/health.rs
+++ b/crates/balancer/src/policy/health.rs
@@ -7,9 +7,9 @@
     pub(crate) fn observe_attempt(&mut self, now: Micros, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let &AttemptEnd { node, outcome, latency, .. } = end;
         let class = self.queries.query_of(attempt.shard_request).class;
-        let is_overdue = latency > self.overdue_after(class, node);
+        let is_late = latency > self.late_after(class, node);
         let is_lost =
-            outcome == AttemptOutcome::ConnectionLost || outcome == AttemptOutcome::Cancelled && is_overdue;
+            outcome == AttemptOutcome::ConnectionLost || outcome == AttemptOutcome::Cancelled && is_late;
         let shows_idle = matches!(outcome, AttemptOutcome::ConnectionLost | AttemptOutcome::Succeeded);
         if shows_idle && self.queries[attempt.shard_request].idle_before.is_some() {
             self.observe_idle(now, is_lost, attempt.idle_before);
@@ -35,7 +35,7 @@
         self.admission.rejections.push_times(now, value, count);
     }
 
-    /// Departure: a load report is one piece of evidence, for what befell more than half of its requests.
+    /// Deviation: a load report is one piece of evidence, for what befell more than half of its requests.
     pub(crate) fn observe_report(&mut self, now: Micros, node: NodeId, report: &LoadReport) {
         let half = (report.succeeded + report.failed + report.connect_failures) / 2.0;
         let outcome = match report {
@@ -59,12 +59,12 @@
     /// Learns what the end of an attempt shows of its node.
     pub(super) fn learn(&mut self, now: Micros, observation: Observation) {
         let Observation { node: id, class, outcome, latency } = observation;
-        let overdue_after = self.overdue_after(class, id);
-        let usual = self.statistics.median_latency().unwrap_or(overdue_after / 8);
+        let late_after = self.late_after(class, id);
+        let usual = self.statistics.median_latency().unwrap_or(late_after / 8);
         let is_remote = self.cross_zone_latency(id) > usual;
         let node = &mut self.nodes[id];
         let is_silent = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
-        let is_late = latency > overdue_after;
+        let is_late = latency > late_after;
         // Guards against connections that come up late: a node that answered in the meantime has not crashed.
         let is_alive = (now - latency + 1..=now).contains(&node.last_heard_at);
         if !outcome.proves_not_executed() && (!is_silent || is_late) {
@@ -78,14 +78,14 @@
             AttemptOutcome::ConnectFailed if !is_alive => {
                 // Guards against a late endpoint list: an unreachable node warms up until it answers in time.
                 node.last_outage_at = now;
-                node.latencies.push(now, latency.max(overdue_after) as f64);
+                node.latencies.push(now, latency.max(late_after) as f64);
                 if node.class_record(class).ejected_until < node.suspect_since {
                     self.admission.crashes.push(now, 1.0);
                 }
                 self.eject(now, id, None);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if is_late => {
-                node.latencies.push(now, latency.max(overdue_after) as f64);
+                node.latencies.push(now, latency.max(late_after) as f64);
                 self.eject(now, id, Some(Silence { since: now - latency, is_remote }));
             }
             AttemptOutcome::ServerError => self.eject(now, id, None),
@@ -184,8 +184,8 @@
         }
     }
 
-    /// When an attempt is overdue: the latency objective until latencies are known, then half of it at most.
-    pub(super) fn overdue_after(&self, class: usize, id: NodeId) -> Micros {
+    /// When an attempt is late: the latency objective until latencies are known, then half of it at most.
+    pub(super) fn late_after(&self, class: usize, id: NodeId) -> Micros {
         let objective = self.classes[class].latency_objective;
         let Some(baseline) = self.statistics.baseline else { return objective };
         (objective / 2).min(2 * baseline.high + self.cross_zone_latency(id))
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -1,7 +1,7 @@
 //! The decisions of the query router; all of them are here, as are all tuned values.
 //!
-//! In a decision every open query runs through the [`STAGES`], each of which passes it on, keeps it for the
-//! next decision or ends it. "Departure" marks what differs from the original design (`docs/design.md`).
+//! In a decision every open query runs through `STAGES`, each of which passes it on, keeps it for the next
+//! decision or ends it. "Deviation" marks what differs from the original design (`docs/design.md`).
 
 mod admission;
 mod completion;
@@ -42,7 +42,6 @@
     node_failures: 64,
     node_sends: 1 << 10,
     sends: 1 << 12,
-    retries: 1 << 12,
     idle_times: 64,
     arrivals: 1 << 16,
     tenant_arrivals: 64,
@@ -60,15 +59,12 @@
 }
 
 type Stage = fn(&mut Balancer, Micros, QueryId, &mut dyn Actions) -> Step;
-const STAGES: [Stage; 5] = [
-    Balancer::complete,
-    Balancer::expire,
-    Balancer::wait_for_canary,
-    Balancer::admit,
-    Balancer::retry_and_hedge,
-];
 
 impl Balancer {
+    /// The stages in their order.
+    const STAGES: [Stage; 5] =
+        [Self::complete, Self::expire, Self::wait_for_canary, Self::admit, Self::retry_and_hedge];
+
     /// Takes all decisions of this instant.
     pub(crate) fn decide_all(&mut self, now: Micros, actions: &mut dyn Actions) {
         self.update_canary_mode(now, actions);
@@ -83,7 +79,7 @@
     }
 
     fn run_stages(&mut self, now: Micros, id: QueryId, actions: &mut dyn Actions) {
-        for stage in STAGES {
+        for stage in Self::STAGES {
             match stage(self, now, id, actions) {
                 Step::Continue => {}
                 Step::Wait => return,
--- a/crates/balancer/src/policy/retries.rs
+++ b/crates/balancer/src/policy/retries.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Balancer {
-    /// Sends another attempt where all have ended, and a hedged one where an attempt is overdue.
+    /// Sends another attempt where all have ended, and a hedged one where an attempt is late.
     pub(super) fn retry_and_hedge(&mut self, now: Micros, id: QueryId, actions: &mut dyn Actions) -> Step {
         let shard_requests = self.queries[id].current_step().to_vec();
         let mut any_abandoned = self.abandon_beyond_budget(now, &shard_requests);
@@ -34,16 +34,14 @@
         let Some(&last_node) = request.attempts.last().filter(|_| request.is_pending()) else { return false };
         let class = self.queries.query_of(id).class;
         let repeat = request.next_repeat();
-        let is_overdue = now - request.sent_at > self.overdue_after(class, last_node)
+        let is_late = now - request.sent_at > self.late_after(class, last_node)
             || self.nodes[last_node].class_record(class).ejected_until > now;
         let is_hedge = repeat == Repeat::Hedge;
-        if is_hedge
-            && is_overdue
-            && let Some(idle) = self.queries[id].idle_before.take()
-        {
+        let new_idle = if is_hedge && is_late { self.queries[id].idle_before.take() } else { None };
+        if let Some(idle) = new_idle {
             self.observe_idle(now, true, idle);
         }
-        if is_hedge && !(is_overdue && self.may_hedge(id, class)) {
+        if is_hedge && !(is_late && self.may_hedge(id, class)) {
             return false;
         }
         if !self.may_repeat(now, id, repeat) {
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -79,26 +79,26 @@
         Choice { node, preference }
     }
 
-    /// How much a node is preferred by itself: healthy with nothing overdue, usable if it is not ejected.
+    /// How much a node is preferred by itself: healthy with nothing late, usable if it is not ejected.
     pub(super) fn preference(&self, now: Micros, id: NodeId, class: usize) -> Preference {
         let node = &self.nodes[id];
         if node.class_record(class).ejected_until > now || node.rejecting_until > now {
             return Preference::Unavailable;
         }
-        let is_overdue = node.oldest_sent_at().is_some_and(|at| now - at > self.overdue_after(class, id));
+        let is_late = node.oldest_sent_at().is_some_and(|at| now - at > self.late_after(class, id));
         // A non-idempotent shard request gets no retry: its node must fail less than a tenth of its attempts.
         let is_suspect = node.is_suspect(class);
         let is_proven = !is_suspect && node.failure_share(now - RECENT) < 0.1;
         let is_too_risky = !is_proven && self.classes[class].idempotency == Idempotency::NonIdempotent;
-        let is_doubtful = is_overdue || is_too_risky || is_suspect && !node.in_flight.is_empty();
-        if is_doubtful { Preference::Usable } else { Preference::Healthy }
+        let needs_caution = is_late || is_too_risky || is_suspect && !node.in_flight.is_empty();
+        if needs_caution { Preference::Usable } else { Preference::Healthy }
     }
 
     /// How many more shard requests of this router a node may have in flight.
     pub(super) fn capacity(&self, id: NodeId, planned: usize, class: usize) -> usize {
         let (node, batch) = (&self.nodes[id], self.site.max_batch.max(2));
         let taken = self.admission.reservations[id.0] + planned;
-        // Departure: from many routers one batch each is too much. A limit under one batch becomes a pause,
+        // Deviation: from many routers one batch each is too much. A limit under one batch becomes a pause,
         // and a suspect node is tried with one shard request. Guards against overload that tries keep up.
         let is_suspect = node.is_suspect(class);
         if node.concurrency_limit < batch as f64 || is_suspect {
@@ -108,7 +108,7 @@
         }
         let limit = node.concurrency_limit as usize;
         let earlier = node.in_flight.iter().filter(|attempt| attempt.sent_at < self.now).count();
-        // Departure: a filled node is used again only for a full batch, so that requests share its cost.
+        // Deviation: a filled node is used again only for a full batch, so that requests share its cost.
         if node.filled && earlier > limit.saturating_sub(self.site.max_batch) {
             return 0;
         }
--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_query_waits_unsent_at_the_concurrency_limit_and_is_rejected_in_the_end() {
+fn a_query_waits_at_the_concurrency_limit_and_is_rejected_in_the_end() {
     let mut balancer = balancer("non_idempotent", &[]);
     arrive(&mut balancer, 0, 12);
     assert_eq!(decide(&mut balancer, NOW).len(), 12);
--- a/crates/balancer/src/policy/tests/endpoint_health.rs
+++ b/crates/balancer/src/policy/tests/endpoint_health.rs
@@ -14,7 +14,8 @@
         balancer("idempotent", &[&cold[..], &[("rules.warm_up_us", 10e6), ("routers", 4.0)]].concat());
     let nodes = [(0, EndpointState::Ready, NOW - 6_000_000), (1, EndpointState::Draining, 0)];
     assert!(update_endpoints(&mut balancer, EndpointUpdate::Incremental, &nodes).0.is_empty());
-    // A quarter at first, and half of the rest 5 s after the window of 1 s: 0.25 + 0.75 / 2 of a core, twice that.
+    // A quarter at first, and half of the rest 5 s after the window of 1 s: 0.25 + 0.75 / 2 of a core, twice
+    // that.
     assert_eq!(balancer.endpoint_health(NOW, NodeId(0)), EndpointHealth::Healthy { capacity: 32.0 });
     assert_eq!(
         balancer.endpoint_health(NOW - 5_000_000, NodeId(0)),
--- a/crates/balancer/src/policy/tests/fleet.rs
+++ b/crates/balancer/src/policy/tests/fleet.rs
@@ -1,5 +1,6 @@
-//! A small fleet on a simulated clock: 40 replica sets of one shard with two nodes each and 300 routers, of which this
-//! is one, with a class of one shard request and one of twenty. Nodes answer in 20 ms or reject in 3 ms.
+//! A small fleet on a simulated clock: 40 replica sets of one shard with two nodes each and 300 routers, of
+//! which this is one, with a class of one shard request and one of twenty. Nodes answer in 20 ms or reject in
+//! 3 ms.
 
 use super::rig::*;
 use super::*;
@@ -81,8 +82,8 @@
         Fleet { balancer, rejecting: rejecting.to_vec(), pending, attempts, now: NOW, in_time }
     }
 
-    /// Plays 22 s, in the first 20 of which a query of each of `classes` arrives each second. Returns how many queries
-    /// were not complete in time.
+    /// Plays 22 s, in the first 20 of which a query of each of `classes` arrives each second. Returns how
+    /// many queries were not complete in time.
     fn play(mut self, classes: &[usize]) -> usize {
         let mut balancer = std::mem::take(&mut self.balancer);
         for interval in 0..4_400 {
--- a/crates/balancer/src/policy/tests/rig.rs
+++ b/crates/balancer/src/policy/tests/rig.rs
@@ -127,7 +127,8 @@
     recorder.0
 }
 
-/// A query of one shard request arrives, its first attempt (at node 0) ends with `outcome`, and the balancer decides.
+/// A query of one shard request arrives, its first attempt (at node 0) ends with `outcome`, and the balancer
+/// decides.
 pub fn after_first_attempt(balancer: &mut Balancer, outcome: AttemptOutcome, now: Micros) -> Vec<String> {
     arrive(balancer, 10, 1);
     assert_eq!(decide(balancer, NOW), ["send 11 0"]);
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-/// The value of one setting; times are whole microseconds in `Number`.
+/// The value of one setting; times are microseconds in `Number`.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// A number, or a time in microseconds.
--- a/crates/balancer/src/state/admission_state.rs
+++ b/crates/balancer/src/state/admission_state.rs
@@ -32,7 +32,8 @@
     pub arrivals: SlidingWindow,
     /// By node, the places that are kept for waiting queries in this decision.
     pub reservations: Vec<usize>,
-    /// For each attempt that was answered, or rejected as another was before, 1 if it was rejected and 0 if not.
+    /// For each attempt that was answered, or rejected as another was before, 1 if it was rejected and 0 if
+    /// not.
     pub rejections: SlidingWindow,
     /// Until when new queries of more than one batch wait because attempts are rejected.
     pub paced_until: Micros,
--- a/crates/balancer/src/state/candidate.rs
+++ b/crates/balancer/src/state/candidate.rs
@@ -7,9 +7,9 @@
 pub enum Preference {
     /// It is ejected or rejects attempts.
     Unavailable,
-    /// An attempt is overdue there, or it is suspect and being tried.
+    /// An attempt is late there, or it is suspect and being tried.
     Usable,
-    /// Nothing is overdue, but it would take much longer than the best.
+    /// Nothing is late, but it would take much longer than the best.
     Healthy,
     /// It takes about as long as the best.
     Prompt,
--- a/crates/balancer/src/state/fleet_statistics.rs
+++ b/crates/balancer/src/state/fleet_statistics.rs
@@ -63,7 +63,8 @@
         SlidingWindow::entry(&mut self.zone_latencies, zone, zone_retained).push(now, latency as f64);
     }
 
-    /// Computes the baseline as three quantiles of the latencies since `from`, if there are at least `min_samples`.
+    /// Computes the baseline as three quantiles of the latencies since `from`, if there are at least
+    /// `min_samples`.
     pub fn refresh_baseline(&mut self, from: Micros, min_samples: usize, shares: [f64; 3]) {
         let latencies = &self.latencies;
         let quantile = |share| latencies.quantile(share, from).unwrap_or(0.0) as Micros;
@@ -73,8 +74,8 @@
         });
     }
 
-    /// Computes by a quantile of the latencies since `from` how much longer an answer takes than from the nearest
-    /// zone, for zones with at least `min_samples`.
+    /// Computes by a quantile of the latencies since `from` how much longer an answer takes than from the
+    /// nearest zone, for zones with at least `min_samples`.
     pub fn refresh_cross_zone(&mut self, from: Micros, min_samples: usize, share: f64) {
         let low =
             |zone: &SlidingWindow| zone.quantile(share, from).filter(|_| zone.count(from) >= min_samples);
--- a/crates/balancer/src/state/query_table.rs
+++ b/crates/balancer/src/state/query_table.rs
@@ -71,10 +71,10 @@
     }
 
     /// The shard requests of the present step that have neither been sent nor abandoned.
-    pub fn unsent(&self, id: QueryId) -> Vec<ShardRequestId> {
-        let mut unsent = self[id].current_step().to_vec();
-        unsent.retain(|&id| self[id].attempts.is_empty() && !self[id].is_abandoned());
-        unsent
+    pub fn not_attempted(&self, id: QueryId) -> Vec<ShardRequestId> {
+        let mut not_attempted = self[id].current_step().to_vec();
+        not_attempted.retain(|&id| self[id].attempts.is_empty() && !self[id].is_abandoned());
+        not_attempted
     }
 
     /// Whether an attempt at the query may have been executed.
--- a/crates/balancer/src/state/samples_retained.rs
+++ b/crates/balancer/src/state/samples_retained.rs
@@ -12,10 +12,8 @@
     pub node_failures: usize,
     /// Sends to each node.
     pub node_sends: usize,
-    /// Sends to all nodes.
+    /// Sends to all nodes, and retries and hedged attempts among them.
     pub sends: usize,
-    /// Retries and hedged attempts.
-    pub retries: usize,
     /// Idle times before attempts.
     pub idle_times: usize,
     /// Queries and shard requests that arrived.
--- a/crates/balancer/src/state/shard_map.rs
+++ b/crates/balancer/src/state/shard_map.rs
@@ -4,8 +4,8 @@
 use crate::{NodeId, Settings};
 use std::collections::BTreeMap;
 
-/// Which replica sets hold a shard, and the ready nodes of each. A shard is held by as many consecutive replica sets as
-/// the settings say, the first of which has its index.
+/// Which replica sets hold a shard, and the ready nodes of each. A shard is held by as many consecutive
+/// replica sets as the settings say, the first of which has its index.
 #[derive(Default)]
 pub struct ShardMap {
     sets_per_shard: usize,
--- a/crates/balancer/src/state/shard_request.rs
+++ b/crates/balancer/src/state/shard_request.rs
@@ -18,7 +18,7 @@
 pub enum Repeat {
     /// All earlier attempts have ended.
     Retry,
-    /// An earlier attempt is in flight and overdue.
+    /// An earlier attempt is in flight and late.
     Hedge,
 }
 
@@ -37,8 +37,8 @@
     pub in_flight: usize,
     /// When the last attempt was sent.
     pub sent_at: Micros,
-    /// How long the node of the last attempt had not been heard from by then; absent once that attempt was found
-    /// overdue.
+    /// How long the node of the last attempt had not been heard from by then; absent once that attempt was
+    /// found late.
     pub idle_before: Option<Micros>,
     /// When the earliest attempt was sent that may have been executed.
     pub may_have_run_since: Option<Micros>,
--- a/crates/balancer/src/state/site_settings.rs
+++ b/crates/balancer/src/state/site_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the whole site, read once at the start.
+//! The settings of the site, read once at the start.
 
 use crate::{Micros, Settings};
 
@@ -26,7 +26,7 @@
     pub share: f64,
 }
 
-/// The settings of the whole site.
+/// The settings of the site.
 #[derive(Default)]
 pub struct SiteSettings {
     /// The zone of this router.
--- a/crates/balancer/src/state/sliding_window.rs
+++ b/crates/balancer/src/state/sliding_window.rs
@@ -99,8 +99,8 @@
         value
     }
 
-    /// Of the samples taken at `from` or later: the counts of those whose magnitude is under `magnitude`, and of the
-    /// others.
+    /// Of the samples taken at `from` or later: the counts of those whose magnitude is under `magnitude`, and
+    /// of the others.
     pub fn split(&self, from: Micros, magnitude: f64) -> [SignCounts; 2] {
         let mut counts = [SignCounts::default(); 2];
         for value in self.since(from) {
