--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -13,12 +13,16 @@
 /// Decides for one router, from its settings and its own events.
 #[derive(Default)]
 pub struct Balancer {
+    /// The settings as they were passed, from which service classes and tenants are read when first seen.
     pub(crate) settings: Settings,
     pub(crate) site: SiteSettings,
     pub(crate) classes: Vec<ServiceClass>,
+    /// Draws the tie-breaks of nodes and the jitter of requests for the endpoint list.
     pub(crate) random: fastrand::Rng,
     pub(crate) nodes: NodeTable,
+    /// Which ready nodes hold a shard.
     pub(crate) shards: ShardMap,
+    /// Queries that are open or have attempts in flight.
     pub(crate) queries: QueryTable,
     /// When the last decision began.
     pub(crate) now: Micros,
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -135,7 +135,7 @@
     /// Decides whether so many nodes crashed recently that a canary attempt goes ahead of each query.
     pub(super) fn update_canary_mode(&mut self, now: Micros, actions: &mut dyn Actions) {
         let crashes = self.admission.crashes.count(now - CRASH_MEMORY);
-        let canaries = crashes >= MAX_CRASHES;
+        let canaries = crashes >= CANARY_CRASHES;
         if std::mem::replace(&mut self.admission.canaries, canaries) != canaries {
             let first = if canaries { "ahead" } else { "together" };
             actions.log(&format!("{crashes} or more nodes fell of late, first calls go {first}"));
@@ -150,6 +150,7 @@
             return Step::Continue;
         }
         let in_flight = self.queries.in_flight(id);
+        // The time allowed goes by the zone of node 0, whichever nodes were used.
         let is_late = || now - in_flight.last_sent_at > self.late_after(query.class, NodeId(0));
         if in_flight.attempts > 0 && !is_late() {
             return Step::Wait;
--- a/crates/balancer/src/policy/health.rs
+++ b/crates/balancer/src/policy/health.rs
@@ -119,7 +119,7 @@
     fn eject(&mut self, now: Micros, id: NodeId, silence: Option<Silence>) {
         for class in 0..self.classes.len() {
             let record = self.nodes[id].class_record_mut(class);
-            let is_excused = silence.is_some_and(|it| record.last_success_at > it.since || it.is_remote);
+            let is_excused = silence.is_some_and(|it| it.is_remote || record.last_success_at > it.since);
             if now >= record.ejected_until && !is_excused {
                 record.strikes = (record.strikes + 1).min(5);
                 record.ejected_until = now + (250_000 << record.strikes);
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -31,7 +31,7 @@
 const MAX_PACING_FACTOR: f64 = 10.0;
 /// How long a crash is remembered, and how many crashes in that time make canary attempts necessary.
 const CRASH_MEMORY: Micros = 30_000_000;
-const MAX_CRASHES: usize = 3;
+const CANARY_CRASHES: usize = 3;
 /// The error that rounding may leave in a sum of weights.
 const WEIGHT_ROUNDING: f64 = 1e-5;
 /// How many samples of each measurement are kept.
@@ -46,7 +46,7 @@
     arrivals: 1 << 16,
     tenant_arrivals: 64,
     rejections: 128,
-    crashes: MAX_CRASHES,
+    crashes: CANARY_CRASHES,
     class_durations: 32,
     class_times_allowed: 64,
 };
--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -34,7 +34,9 @@
 fn while_attempts_are_rejected_large_queries_are_paced() {
     let sends = |rejections: &[f64], size: usize| {
         let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 1.0)]);
-        rejections.iter().for_each(|&one| balancer.admission.rejections.push(NOW, one));
+        for &rejected in rejections {
+            balancer.admission.rejections.push(NOW, rejected);
+        }
         arrive(&mut balancer, 0, 2);
         arrive(&mut balancer, 10, size);
         let at_once = decide(&mut balancer, NOW).len();
@@ -61,7 +63,9 @@
 #[test]
 fn queries_beyond_a_tenants_quota_wait_behind_others() {
     let mut balancer = balancer("idempotent", &[("tenant.0.quota_per_s", 1.0)]);
-    (0..4).for_each(|id| balancer.query_arrived(NOW, &query(id, NOW + 3_000_000, 1)));
+    for id in 0..4 {
+        balancer.query_arrived(NOW, &query(id, NOW + 3_000_000, 1));
+    }
     assert_eq!((balancer.queries[QueryId(2)].queue_rank, balancer.queries[QueryId(3)].queue_rank), (0, 1));
 }
 
@@ -83,7 +87,9 @@
     end_attempt(&mut balancer, NOW + 9, attempt(2, 0), NodeId(1), AttemptOutcome::ConnectionLost, 9);
     assert_eq!(decide(&mut balancer, NOW + 9), ["0 Rejected(0)"]);
     balancer.query_arrived(NOW + 20, &QueryArrival { is_retry: true, ..query(10, NOW + 3_000_000, 2) });
-    (11..13).for_each(|id| balancer.shard_request_arrived(NOW + 20, &shard_request(id, 10, 0, 0.5)));
+    for id in 11..13 {
+        balancer.shard_request_arrived(NOW + 20, &shard_request(id, 10, 0, 0.5));
+    }
     assert_eq!(decide(&mut balancer, NOW + 20), ["10 Rejected(0)"]);
 }
 
@@ -100,7 +106,7 @@
 #[test]
 fn while_nodes_keep_crashing_a_canary_batch_goes_ahead() {
     let mut balancer = balancer("idempotent", &[]);
-    (0..MAX_CRASHES).for_each(|_| balancer.admission.crashes.push(NOW, 1.0));
+    balancer.admission.crashes.push_times(NOW, 1.0, CANARY_CRASHES);
     arrive(&mut balancer, 0, 2);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 0"]);
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
--- a/crates/balancer/src/policy/tests/health.rs
+++ b/crates/balancer/src/policy/tests/health.rs
@@ -89,10 +89,16 @@
 #[test]
 fn idle_connections_are_distrusted_when_only_long_idle_times_end_in_losses() {
     let mut balancer = balancer("idempotent", &[]);
-    (0..8).for_each(|_| balancer.observe_idle(NOW, false, 500_000));
-    (0..2).for_each(|_| balancer.observe_idle(NOW, true, 3_000_000));
+    for _ in 0..8 {
+        balancer.observe_idle(NOW, false, 500_000);
+    }
+    for _ in 0..2 {
+        balancer.observe_idle(NOW, true, 3_000_000);
+    }
     assert_eq!(balancer.statistics.max_idle, 3_000_000);
-    (0..20).for_each(|_| balancer.observe_idle(NOW, true, 200_000));
+    for _ in 0..20 {
+        balancer.observe_idle(NOW, true, 200_000);
+    }
     assert_eq!(
         balancer.statistics.max_idle, 200_000,
         "losses after short idle times too are not put down to long ones"
--- a/crates/balancer/src/policy/tests/retries.rs
+++ b/crates/balancer/src/policy/tests/retries.rs
@@ -72,7 +72,7 @@
 #[test]
 fn a_late_attempt_is_hedged_at_another_node() {
     let mut balancer = balancer("idempotent", &[("class.0.late_value", 0.3)]);
-    (0..16).for_each(|_| balancer.statistics.latencies.push(NOW, 100_000.0));
+    balancer.statistics.latencies.push_times(NOW, 100_000.0, 16);
     arrive(&mut balancer, 0, 1);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 0"]);
     assert!(decide(&mut balancer, NOW + 200_000).is_empty());
