--- /dev/null
+++ b/crates/balancer/src/policy/tests/mod.rs
@@ -0,0 +1,13 @@
+//! Each test builds the state that it needs and checks one behaviour.
+
+mod admission;
+mod completion;
+mod discovery;
+mod endpoint_health;
+mod fleet;
+mod health;
+mod retries;
+mod rig;
+mod selection;
+
+use super::*;
