--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -5,8 +5,10 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The index of a connection: the state machine hands it out and may use it again once the connection was closed.
-pub type ConnectionId = usize;
+/// A connection. It is a small index: the state machine hands it out and may use it again once the connection was
+/// closed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ConnectionId(pub usize);
 /// Bytes to be written, shared where several connections get the same.
 pub type Bytes = Rc<[u8]>;
 
--- a/crates/query-router/src/router/connection/mod.rs
+++ b/crates/query-router/src/router/connection/mod.rs
@@ -73,43 +73,43 @@
 
     /// Adds a connection; its id is unused until then.
     pub fn insert(&mut self, connection: Connection) -> ConnectionId {
-        self.slots.insert(Slot { connection, timer_at: None })
+        ConnectionId(self.slots.insert(Slot { connection, timer_at: None }))
     }
 
     /// Removes a connection; its id may be used again.
     pub fn remove(&mut self, id: ConnectionId) -> Connection {
-        self.slots.remove(id).connection
+        self.slots.remove(id.0).connection
     }
 
     /// Sets the time of the connection's timer; returns the time before.
     pub fn set_timer_at(&mut self, id: ConnectionId, at: Option<Micros>) -> Option<Micros> {
-        std::mem::replace(&mut self.slots[id].timer_at, at)
+        std::mem::replace(&mut self.slots[id.0].timer_at, at)
     }
 
     /// What a connection is for, `None` if there is none with this id.
     pub fn kind(&self, id: ConnectionId) -> Option<ConnectionKind> {
-        self.slots.get(id).map(|slot| slot.connection.kind())
+        self.slots.get(id.0).map(|slot| slot.connection.kind())
     }
 
     /// A client connection.
     pub fn client(&mut self, id: ConnectionId) -> &mut ClientConnection {
-        match &mut self.slots[id].connection {
+        match &mut self.slots[id.0].connection {
             Connection::Client(client) => client,
-            _ => unreachable!("connection {id} is a client connection"),
+            _ => unreachable!("{id:?} is a client connection"),
         }
     }
 
     /// A node connection.
     pub fn node(&mut self, id: ConnectionId) -> &mut NodeConnection {
-        match &mut self.slots[id].connection {
+        match &mut self.slots[id.0].connection {
             Connection::Node(node) => node,
-            _ => unreachable!("connection {id} is a node connection"),
+            _ => unreachable!("{id:?} is a node connection"),
         }
     }
 
     /// A node connection, if it is one.
     pub fn as_node(&self, id: ConnectionId) -> Option<&NodeConnection> {
-        match &self.slots.get(id)?.connection {
+        match &self.slots.get(id.0)?.connection {
             Connection::Node(node) => Some(node),
             _ => None,
         }
@@ -117,21 +117,26 @@
 
     /// A request to discovery.
     pub fn discovery(&mut self, id: ConnectionId) -> &mut DiscoveryRequest {
-        match &mut self.slots[id].connection {
+        match &mut self.slots[id.0].connection {
             Connection::Discovery(request) => request,
-            _ => unreachable!("connection {id} is a request to discovery"),
+            _ => unreachable!("{id:?} is a request to discovery"),
         }
     }
 
     /// The ids of all connections, in order.
     #[cfg(test)]
     pub fn ids(&self) -> impl Iterator<Item = ConnectionId> + '_ {
-        self.slots.iter().map(|(id, _)| id)
+        self.slots.iter().map(|(index, _)| ConnectionId(index))
+    }
+
+    /// All connections, in the order of their ids.
+    fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
+        self.slots.iter().map(|(index, slot)| (ConnectionId(index), &slot.connection))
     }
 
     /// All client connections, in the order of their ids.
     pub fn clients(&self) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
-        self.slots.iter().filter_map(|(id, slot)| match &slot.connection {
+        self.iter().filter_map(|(id, connection)| match connection {
             Connection::Client(client) => Some((id, client)),
             _ => None,
         })
@@ -139,7 +144,7 @@
 
     /// All node connections, in the order of their ids.
     pub fn nodes(&self) -> impl Iterator<Item = (ConnectionId, &NodeConnection)> {
-        self.slots.iter().filter_map(|(id, slot)| match &slot.connection {
+        self.iter().filter_map(|(id, connection)| match connection {
             Connection::Node(node) => Some((id, &**node)),
             _ => None,
         })
@@ -147,7 +152,7 @@
 
     /// All polls of discovery, in the order of their ids.
     pub fn polls(&self) -> impl Iterator<Item = ConnectionId> + '_ {
-        self.slots.iter().filter_map(|(id, slot)| match &slot.connection {
+        self.iter().filter_map(|(id, connection)| match connection {
             Connection::Discovery(request) if request.kind == RequestKind::Poll => Some(id),
             _ => None,
         })
@@ -160,8 +165,7 @@
 
     /// The connection that has been idle for longest.
     pub fn longest_idle(&self) -> Option<ConnectionId> {
-        let idle =
-            self.slots.iter().filter_map(|(id, slot)| slot.connection.idle_since().map(|since| (since, id)));
+        let idle = self.iter().filter_map(|(id, connection)| Some((connection.idle_since()?, id)));
         idle.min().map(|(_, id)| id)
     }
 }
--- a/crates/query-router/src/serve.rs
+++ b/crates/query-router/src/serve.rs
@@ -187,7 +187,7 @@
     fn turn(&mut self) {
         // Guards against what goes out on a connection that has just come up though its client left, or its node
         // began to drain, in this very turn: what is up is heard first.
-        let up = |conn: ConnectionId| matches!(self.sockets.get(conn), Some(Some(socket)) if socket.up);
+        let up = |conn: ConnectionId| matches!(self.sockets.get(conn.0), Some(Some(socket)) if socket.up);
         let (heard, coming_up): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.ready).into_iter().partition(|ready| up(ready.0));
         for (conn, readiness) in heard.into_iter().chain(coming_up) {
@@ -276,10 +276,10 @@
             match self.after.pop_front() {
                 None => return,
                 Some(After::Read(conn)) => {
-                    if matches!(self.sockets.get(conn), Some(Some(socket)) if socket.full) {
+                    if matches!(self.sockets.get(conn.0), Some(Some(socket)) if socket.full) {
                         self.read_next(conn);
                     }
-                    if let Some(Some(socket)) = self.sockets.get(conn) {
+                    if let Some(Some(socket)) = self.sockets.get(conn.0) {
                         self.router.step(now, Event::Received(conn, &socket.input));
                     }
                 }
@@ -301,7 +301,7 @@
                 Err(_) => self.after.push_back(After::Ended(conn, 0)),
             },
             Effect::Consume(conn, count) => {
-                if let Some(Some(socket)) = self.sockets.get_mut(conn) {
+                if let Some(Some(socket)) = self.sockets.get_mut(conn.0) {
                     socket.input.drain(..count);
                     if socket.input.is_empty() && socket.input.capacity() > KEPT_INPUT {
                         socket.input = Vec::new();
@@ -310,7 +310,7 @@
             }
             Effect::Redeliver(conn) => self.after.push_back(After::Read(conn)),
             Effect::Write(conn, pieces) => {
-                if let Some(Some(socket)) = self.sockets.get_mut(conn) {
+                if let Some(Some(socket)) = self.sockets.get_mut(conn.0) {
                     socket.output.extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
                     self.write(conn);
                 }
@@ -322,7 +322,7 @@
                 self.effect(Effect::Write(conn, pieces));
             }
             Effect::CloseWrite(conn) => {
-                if let Some(Some(socket)) = self.sockets.get(conn) {
+                if let Some(Some(socket)) = self.sockets.get(conn.0) {
                     let _ = socket.stream.shutdown(Shutdown::Write);
                 }
             }
@@ -346,7 +346,7 @@
 
     /// Whether something has come in that is not read yet: some bytes, or, as none, the connection's end.
     fn unread(&self, conn: ConnectionId) -> Option<usize> {
-        let socket = self.sockets.get(conn)?.as_ref()?;
+        let socket = self.sockets.get(conn.0)?.as_ref()?;
         match socket.stream.peek(&mut [0]) {
             Err(e) if e.kind() == ErrorKind::WouldBlock => None,
             peeked => Some(peeked.unwrap_or(0)),
@@ -366,7 +366,7 @@
     }
 
     fn take(&mut self, conn: ConnectionId) -> Option<Socket> {
-        let socket = self.sockets.get_mut(conn)?.take()?;
+        let socket = self.sockets.get_mut(conn.0)?.take()?;
         self.handle.remove(socket.token);
         Some(socket)
     }
@@ -381,16 +381,16 @@
         let Ok(token) = token else {
             return self.after.push_back(After::Ended(conn, 0));
         };
-        if self.sockets.len() <= conn {
-            self.sockets.resize_with(conn + 1, || None);
+        if self.sockets.len() <= conn.0 {
+            self.sockets.resize_with(conn.0 + 1, || None);
         }
         let (input, output) = (Vec::new(), VecDeque::new());
-        self.sockets[conn] =
+        self.sockets[conn.0] =
             Some(Socket { stream, token, up, full: false, input, output, offset: 0, written: 0 });
     }
 
     fn socket_ready(&mut self, conn: ConnectionId, readiness: Readiness) {
-        let Some(Some(socket)) = self.sockets.get_mut(conn) else { return };
+        let Some(Some(socket)) = self.sockets.get_mut(conn.0) else { return };
         if !socket.up {
             let failed = !matches!(socket.stream.take_error(), Ok(None));
             if failed {
@@ -419,7 +419,7 @@
             if turn == MOST_READS {
                 return self.read_next(conn);
             }
-            let Some(Some(socket)) = self.sockets.get_mut(conn) else { return };
+            let Some(Some(socket)) = self.sockets.get_mut(conn.0) else { return };
             socket.full = socket.input.len() >= MAX_REQUEST_BYTES;
             if socket.full {
                 return;
@@ -445,7 +445,7 @@
 
     /// Writes until nothing is left or the socket takes no more.
     fn write(&mut self, conn: ConnectionId) {
-        let Some(Some(socket)) = self.sockets.get_mut(conn) else { return };
+        let Some(Some(socket)) = self.sockets.get_mut(conn.0) else { return };
         if socket.output.is_empty() {
             return;
         }
--- a/crates/query-router/src/serve/tests.rs
+++ b/crates/query-router/src/serve/tests.rs
@@ -153,6 +153,7 @@
                 .sockets
                 .iter()
                 .position(|socket| socket.as_ref().is_some_and(is))
+                .map(ConnectionId)
                 .expect("a connection")
         };
         let asks = served(&rig, client.local_addr().expect("an address"));
