--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -54,7 +54,7 @@
                     if self.socket(connection).is_some_and(Socket::is_input_full) {
                         self.read_in_next_iteration(connection);
                     }
-                    if let Some(Some(socket)) = self.sockets.get(connection) {
+                    if let Some(Some(socket)) = self.sockets.get(connection.0) {
                         self.router.step(now, Event::Received(connection, socket.input()));
                     }
                 }
@@ -169,7 +169,7 @@
 
     /// Removes a connection from the event loop; it is closed once the socket is dropped.
     fn remove_socket(&mut self, connection: ConnectionId) -> Option<Socket> {
-        let socket = self.sockets.get_mut(connection)?.take()?;
+        let socket = self.sockets.get_mut(connection.0)?.take()?;
         self.handle.remove(socket.token());
         Some(socket)
     }
@@ -185,9 +185,9 @@
         let Ok(token) = token else {
             return self.report_unopened(connection);
         };
-        if self.sockets.len() <= connection {
-            self.sockets.resize_with(connection + 1, || None);
+        if self.sockets.len() <= connection.0 {
+            self.sockets.resize_with(connection.0 + 1, || None);
         }
-        self.sockets[connection] = Some(Socket::new(stream, token, state));
+        self.sockets[connection.0] = Some(Socket::new(stream, token, state));
     }
 }
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -186,7 +186,7 @@
     /// Reads until nothing is left or the buffer is full, and reports what came.
     fn read(&mut self, connection: ConnectionId) {
         for _ in 0..MAX_READS_PER_ITERATION {
-            let Some(Some(socket)) = self.sockets.get_mut(connection) else { return };
+            let Some(Some(socket)) = self.sockets.get_mut(connection.0) else { return };
             match socket.read(&mut self.read_buffer) {
                 ReadOutcome::Received => {
                     self.router.step(self.clock.now(), Event::Received(connection, socket.input()));
@@ -263,10 +263,10 @@
     }
 
     fn socket(&self, connection: ConnectionId) -> Option<&Socket> {
-        self.sockets.get(connection)?.as_ref()
+        self.sockets.get(connection.0)?.as_ref()
     }
 
     fn socket_mut(&mut self, connection: ConnectionId) -> Option<&mut Socket> {
-        self.sockets.get_mut(connection)?.as_mut()
+        self.sockets.get_mut(connection.0)?.as_mut()
     }
 }
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -102,7 +102,7 @@
         let has_peer = |socket: &Option<Socket>| {
             socket.as_ref().is_some_and(|socket| socket.peer_address() == Some(peer))
         };
-        self.server.sockets.iter().position(has_peer).expect("a connection")
+        ConnectionId(self.server.sockets.iter().position(has_peer).expect("a connection"))
     }
 
     fn has_received(&self, connection: ConnectionId) -> bool {
