--- a/crates/query-router/src/router/clients/replies.rs
+++ b/crates/query-router/src/router/clients/replies.rs
@@ -23,7 +23,7 @@
         count_completion(context, completion);
         match completion {
             Completion::Complete | Completion::Partial => {
-                let body = queries.answer_body(query, completion == Completion::Complete);
+                let body = queries.answer_body(query, completion);
                 debug_invariant!(context.counters, body.values > 0, "an answer has a value");
                 self.reply(context, id, 200, "application/json", body.bytes, None);
             }
--- a/crates/query-router/src/router/query_table.rs
+++ b/crates/query-router/src/router/query_table.rs
@@ -4,7 +4,9 @@
 use crate::io::{Bytes, ConnectionId};
 use crate::router::context::Context;
 use crate::router::timers::Timer;
-use balancer::{AttemptId, AttemptNumber, AttemptOutcome, Micros, NodeId, QueryId, ShardRequestId};
+use balancer::{
+    AttemptId, AttemptNumber, AttemptOutcome, Completion, Micros, NodeId, QueryId, ShardRequestId,
+};
 use serde_json::{Value as Json, json};
 use slab::Slab;
 use std::collections::HashSet;
@@ -234,7 +236,7 @@
     }
 
     /// The body of a query's answer: the values as data nodes answered them.
-    pub fn answer_body(&self, query: QueryId, complete: bool) -> AnswerBody {
+    pub fn answer_body(&self, query: QueryId, completion: Completion) -> AnswerBody {
         let requests = &self.queries[query.0].shard_requests;
         let matches: Vec<Json> = requests
             .iter()
@@ -245,6 +247,7 @@
             })
             .collect();
         let values = matches.len();
+        let complete = completion == Completion::Complete;
         let bytes = json!({"all_in": complete, "matches": matches}).to_string().into_bytes();
         AnswerBody { bytes, values }
     }
