--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -1,19 +1,17 @@
-//! The query router on sockets: `serve` runs it until it is told to end. `docs/architecture.md` goes through
-//! it file by file; the binary `query-router` in `crates/cli` starts it.
+//! The query router on sockets: [`serve`] answers queries until a signal asks for the end. `docs/architecture.md` goes
+//! through it file by file; the binary `query-router` in `crates/cli` starts it.
+//!
+//! The event loop owns everything of the operating system: sockets, signals and the clock. The state machine behind it
+//! is told of events and asks for effects, and contains the balancer, which takes every decision.
+
+#![warn(missing_docs)]
 
-mod clients;
 pub mod config;
+
 mod counters;
-mod discovery;
+mod event_loop;
 mod io;
-
-mod gather;
-
-mod links;
 mod protocol;
+mod router;
 
-mod reducer;
-mod scatter;
-mod serve;
-
-pub use serve::{Heeded, heed_signals, serve};
+pub use event_loop::{ServeError, SignalSource, install_signal_handlers, serve};
--- /dev/null
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -0,0 +1,355 @@
+//! Watches and polls: how they are read, when they are started again, what is invalid.
+
+use super::*;
+
+#[test]
+fn a_watch_is_read_however_its_bytes_are_split_and_is_restarted_when_silent() {
+    let line = r#"{"revision":43,"complete":false,"members":[{"id":"b","host_port":"127.0.0.1:72",
+        "locality":"z","cell":0,"phase":"draining","size":1.0,"up_since_ms":0}]}"#;
+    let line = line.replace('\n', "") + "\n\n";
+    let (begin, end) = line.split_at(30);
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{begin}\r\n{:x}\r\n{end}\r\n",
+        begin.len(),
+        end.len()
+    );
+    for at in 0..text.len() {
+        let mut rig = Rig::new();
+        let watch = rig.peers.outgoing[0].id;
+        rig.step(Event::Established(watch));
+        assert!(rig.written(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
+        // Bytes that were not consumed are reported again.
+        let mut left = Vec::new();
+        for piece in [&text.as_bytes()[..at], &text.as_bytes()[at..]] {
+            left.extend_from_slice(piece);
+            rig.router.step(START, Event::Received(watch, &left));
+            for effect in rig.router.take_effects() {
+                if let Effect::Consume(_, count) = effect {
+                    left.drain(..count);
+                }
+            }
+        }
+        let ready: Vec<bool> =
+            rig.router.state.context.endpoints.records().iter().map(|record| record.ready).collect();
+        assert_eq!((ready, left.len()), (vec![true, false], 0), "split at {at}");
+        // A watch that was well is restarted as soon as it counts as silent.
+        rig.pass(3_999_999);
+        assert_eq!((rig.peers.outgoing[0].id, rig.router.counters().endpoint_watches_silent), (watch, 0));
+        rig.pass(1);
+        assert_eq!((rig.peers.outgoing.len(), rig.router.counters().endpoint_watches_silent), (1, 1));
+        assert_eq!(rig.router.counters().discovery_failures, 0);
+        let most = (0..160).map(|_| {
+            rig.pass(100_000);
+            rig.peers.outgoing.len()
+        });
+        assert_eq!(most.max(), Some(1), "one watch at a time");
+        assert!(rig.router.counters().discovery_failures > 1);
+    }
+}
+
+#[test]
+fn bytes_that_complete_no_message_do_not_keep_a_watch() {
+    let mut rig = Rig::new();
+    let watch = rig.peers.outgoing[0].id;
+    rig.step(Event::Established(watch));
+    let mut head = b"HTTP/1.1 200 OK\r\nX-Slow: ".to_vec();
+    for second in 0..4 {
+        assert_eq!(rig.peers.outgoing[0].id, watch, "after {second} s");
+        head.push(b'x');
+        rig.step(Event::Received(watch, &head));
+        rig.pass(1_000_000);
+    }
+    assert!(
+        rig.peers.outgoing.iter().all(|outgoing| outgoing.id != watch) || rig.peers.closed.contains(&watch)
+    );
+    assert_eq!(rig.router.counters().discovery_failures, 1);
+}
+
+/// A router whose lists are pushed.
+fn pushed_discovery() -> Rig<RecordingPeers> {
+    let config = CONFIG
+        .replace("\"ask\"", "\"push\"")
+        .replace("\"obligations\":{", "\"obligations\":{\"drainGraceNs\":500000000,");
+    Rig::with_config(&config)
+}
+
+#[test]
+fn a_retry_set_for_an_earlier_watch_does_not_end_one_that_is_well() {
+    let mut rig = pushed_discovery();
+    // Two requests fail, one of them a poll: each sets a time for the next watch.
+    let first = rig.peers.outgoing[0].id;
+    rig.poll();
+    let list = rig.peers.outgoing[1].id;
+    rig.step(Event::Ended(first, 0));
+    rig.pass(50_000);
+    rig.step(Event::Ended(list, 0));
+    rig.pass(250_000);
+    let second = rig.peers.outgoing[0].id;
+    rig.step(Event::Established(second));
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
+    rig.step(Event::Received(second, head.as_bytes()));
+    let requests = rig.router.counters().discovery_requests;
+    rig.pass(3_000_000);
+    assert_eq!(rig.router.counters().discovery_requests, requests);
+    assert_eq!(rig.peers.outgoing.len(), 1);
+}
+
+#[test]
+fn a_failed_watch_is_retried_well_within_the_drain_grace_however_often_it_fails() {
+    let mut rig = pushed_discovery();
+    let mut waits = Vec::new();
+    for _ in 0..8 {
+        rig.step(Event::Ended(rig.peers.outgoing[0].id, 0));
+        let since = rig.now;
+        while rig.peers.outgoing.is_empty() {
+            rig.pass(1_000);
+        }
+        waits.push(rig.now - since);
+    }
+    for (wait, most) in waits.into_iter().zip([125, 250, 250, 250, 250, 250, 250, 250]) {
+        assert!((most * 500..=most * 1_000).contains(&(wait - wait % 1_000)), "{wait} of {most} ms");
+    }
+    // One that is well resets the delay.
+    let watch = rig.peers.outgoing[0].id;
+    rig.step(Event::Established(watch));
+    rig.step(Event::Received(watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
+    rig.step(Event::Ended(watch, 0));
+    rig.pass(125_000);
+    assert_eq!(rig.peers.outgoing.len(), 1);
+}
+
+#[test]
+fn watches_that_end_together_are_retried_at_different_times() {
+    let retry_at = |seed: &str| {
+        let config = CONFIG.replace("\"ask\"", "\"push\"").replace("\"2a\"", seed);
+        let mut rig = Rig::with_config(&config);
+        rig.step(Event::Ended(rig.peers.outgoing[0].id, 0));
+        rig.decide();
+        rig.router.wake_at
+    };
+    let times: BTreeSet<_> = (0..50).map(|seed| retry_at(&format!("\"{seed:x}\""))).collect();
+    assert!(times.len() > 45, "{} times", times.len());
+}
+
+#[test]
+fn a_truncated_list_is_rejected_and_one_without_length_ends_with_an_orderly_close() {
+    let list = r#"{"revision":50,"complete":true,"members":[]}"#;
+    let chunked = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
+    let open = format!("Connection: close\r\n\r\n{list}");
+    for (rest, closed, listed) in
+        [(&chunked, false, 0), (&chunked, true, 0), (&open, false, 0), (&open, true, 1)]
+    {
+        let mut rig = Rig::new();
+        let request = rig.poll();
+        rig.step(Event::Established(request));
+        rig.step(Event::Received(request, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes()));
+        if closed {
+            rig.step(Event::PeerClosed(request));
+        }
+        rig.step(Event::Ended(request, 0));
+        let counters = rig.router.counters();
+        assert_eq!(
+            (counters.endpoint_lists_full, counters.discovery_failures),
+            (1 + listed, 1 - listed),
+            "{rest} {closed}"
+        );
+    }
+}
+
+/// A full list of so many nodes, compact or indented.
+fn list_of(nodes: usize, indented: bool) -> String {
+    let member = |i: usize| {
+        serde_json::json!({"id": format!("s-{i:08x}"), "host_port": format!("127.0.0.1:{}", 2000 + i),
+            "locality": "z", "flavor": "std", "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0})
+    };
+    let members: Vec<_> = (0..nodes).map(member).collect();
+    let list = serde_json::json!({"revision": 60, "complete": true, "members": members});
+    if indented { serde_json::to_string_pretty(&list).expect("JSON") } else { list.to_string() }
+}
+
+/// Has a request answered with these bytes, so many at a time; what was not consumed is reported again.
+fn receive_in_pieces(rig: &mut Rig<RecordingPeers>, request: ConnectionId, bytes: &[u8], piece: usize) {
+    let mut left = Vec::new();
+    for piece in bytes.chunks(piece) {
+        left.extend_from_slice(piece);
+        rig.router.step(START, Event::Received(request, &left));
+        for effect in rig.router.take_effects() {
+            if let Effect::Consume(_, count) = effect {
+                left.drain(..count);
+            }
+        }
+    }
+}
+
+/// How many nodes are ready after a response to a poll or a watch.
+fn ready_after(watch: bool, bytes: &[u8], piece: usize) -> usize {
+    let mut rig = Rig::new();
+    let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
+    rig.step(Event::Established(request));
+    receive_in_pieces(&mut rig, request, bytes, piece);
+    rig.ready_endpoints()
+}
+
+#[test]
+fn lists_of_any_size_are_read_in_any_layout_and_framing() {
+    for indented in [false, true] {
+        let list = list_of(1_100, indented);
+        assert!(list.len() > 2 * crate::protocol::http::MAX_BODY_BYTES);
+        let by_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+        let one_chunk = format!("{head}1\r\n\n\r\n{:x}\r\n{list}\r\n1\r\n\n\r\n0\r\n\r\n", list.len());
+        let chunks: Vec<String> = list
+            .as_bytes()
+            .chunks(5_000)
+            .map(|chunk| format!("{:x}\r\n{}\r\n", chunk.len(), std::str::from_utf8(chunk).expect("text")))
+            .collect();
+        let many_chunks = format!("{head}{}0\r\n\r\n", chunks.concat());
+        for text in [by_length, one_chunk, many_chunks] {
+            for (watch, piece) in [(false, text.len()), (true, text.len()), (false, 4_096), (true, 4_096)] {
+                assert_eq!(
+                    ready_after(watch, text.as_bytes(), piece),
+                    1_100,
+                    "{watch} {piece} {}",
+                    &text[..60]
+                );
+            }
+        }
+    }
+}
+
+#[test]
+fn the_cached_list_may_have_any_size_and_so_may_the_number_of_routers() {
+    for indented in [false, true] {
+        let mut config: serde_json::Value = serde_json::from_str(CONFIG).expect("JSON");
+        config["known"] = serde_json::from_str(&list_of(1_100, indented)).expect("JSON");
+        config["settings"]["instances"] = 2_000.into();
+        let text =
+            if indented { serde_json::to_string_pretty(&config) } else { serde_json::to_string(&config) };
+        let config = Config::parse(&text.expect("JSON")).expect("fit to serve");
+        let mut rig = Rig { router: Router::new(&config, START), ..Rig::new() };
+        assert_eq!(rig.ready_endpoints(), 1_100);
+        let client = rig.query("look", "t1");
+        let connections = rig.peers.outgoing.iter().filter(|outgoing| outgoing.port >= 2_000).count();
+        assert!(connections > 0 && rig.written(client).is_empty(), "its shard requests are on their way");
+    }
+}
+
+#[test]
+fn an_indented_list_is_read_however_it_is_split() {
+    let list = list_of(3, true);
+    let text =
+        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1);
+    for piece in 1..text.len() {
+        assert_eq!(ready_after(true, text.as_bytes(), piece), 3, "pieces of {piece}");
+    }
+}
+
+#[test]
+fn an_invalid_list_leaves_the_current_one_and_is_requested_again() {
+    let member = r#"{"id":"c","host_port":"127.0.0.1:73","cell":0,"phase":"ready"}"#;
+    for (watch, body) in [
+        (true, r#"{"complete":true,"members":[]}"#.to_string()),
+        (true, r#"{"revision":-4,"complete":true,"members":[]}"#.to_string()),
+        (true, r#"{"revision":44,"members":[]}"#.to_string()),
+        (true, r#"{"revision":44,"complete":true,"members":{}}"#.to_string()),
+        (true, format!(r#"{{"revision":44,"complete":true,"members":[{member},{member}]}}"#)),
+        (true, "[]".to_string()),
+        (true, r#"{"revision":44,"complete":tr}"#.to_string()),
+        (false, r#"{"revision":"x","complete":true,"members":[]}"#.to_string()),
+        (false, r#"{"revision":44,"complete":true,"members":["#.to_string()),
+        (false, format!(r#"{{"revision":44,"complete":true,"members":[{member},{member}]}}"#)),
+        (false, "x".repeat(crate::protocol::json_stream::MAX_ENDPOINT_LIST_BYTES + 1)),
+    ] {
+        let mut rig = Rig::new();
+        let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
+        rig.step(Event::Established(request));
+        let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        rig.step(Event::Received(request, text.as_bytes()));
+        let counters = rig.router.counters();
+        assert_eq!(
+            (counters.endpoint_lists_invalid, counters.discovery_failures),
+            (1, 1),
+            "{}",
+            &body[..body.len().min(80)]
+        );
+        assert!(
+            rig.router.state.context.endpoints.records().iter().all(|record| record.ready),
+            "the current list stays"
+        );
+        let requests = rig.router.counters().discovery_requests;
+        rig.decide();
+        rig.pass(20_000_000);
+        assert!(rig.router.counters().discovery_requests > requests);
+    }
+    // A length that no list has is not believed, however little comes.
+    let mut rig = Rig::new();
+    let request = rig.peers.outgoing[0].id;
+    rig.step(Event::Established(request));
+    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{", usize::MAX);
+    rig.step(Event::Received(request, text.as_bytes()));
+    assert_eq!(rig.router.counters().endpoint_lists_invalid, 1);
+}
+
+#[test]
+fn an_invalid_entry_costs_no_other() {
+    let body = r#"{"revision":44,"complete":true,"members":[{"id":"x"},7,{"id":"y","cell":0,"phase":"asleep"},
+        {"id":"b","host_port":"127.0.0.1:72","locality":"z","cell":0,"phase":"ready"}]}"#;
+    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    assert_eq!(ready_after(true, text.as_bytes(), text.len()), 1);
+}
+
+#[test]
+fn a_watch_with_a_truncated_object_fails_though_blank_lines_follow() {
+    let mut rig = Rig::new();
+    let request = rig.peers.outgoing[0].id;
+    rig.step(Event::Established(request));
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    rig.step(Event::Received(request, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes()));
+    for _ in 0..3 {
+        rig.pass(1_500_000);
+        if rig.router.state.context.connections.kind(request).is_some() {
+            rig.step(Event::Received(request, b"1\r\n\n\r\n"));
+        }
+    }
+    assert_eq!(rig.router.counters().discovery_failures, 1);
+}
+
+#[test]
+fn discovery_that_moves_is_watched_at_its_new_address_only() {
+    let mut rig = Rig::new();
+    let client = rig.query("look", "t1");
+    let (connection, _) = rig.establish_last();
+    let old = rig.peers.outgoing[0].id;
+    rig.poll();
+    let list = rig.peers.outgoing.last().expect("a connection").id;
+    rig.step(Event::DiscoveryMoved("127.0.0.1:9".parse().expect("an address")));
+    assert!(rig.peers.closed.is_empty(), "the same address changes nothing");
+    for port in [10, 11] {
+        rig.step(Event::DiscoveryMoved(SocketAddr::from(([127, 0, 0, 1], port))));
+    }
+    assert!(rig.peers.closed.contains(&old) && rig.peers.closed.contains(&list));
+    let requests: Vec<ConnectionId> = rig
+        .peers
+        .outgoing
+        .iter()
+        .filter(|outgoing| outgoing.port == 11)
+        .map(|outgoing| outgoing.id)
+        .collect();
+    assert!(
+        requests.len() == 2
+            && !rig
+                .peers
+                .outgoing
+                .iter()
+                .any(|outgoing| outgoing.port == DISCOVERY_PORT || outgoing.port == 10)
+    );
+    requests.iter().for_each(|&request| rig.step(Event::Established(request)));
+    // Revisions of the old address mean nothing at the new one.
+    assert!(
+        requests.iter().any(|&request| rig.written(request).starts_with("GET /api/targets?watch=1&after=0 "))
+    );
+    rig.respond(connection, "t1.0 OK 5 -", "alpha");
+    rig.respond(connection, "t1.1 OK 5 -", "beta");
+    rig.decide();
+    assert!(rig.written(client).starts_with("HTTP/1.1 200"));
+}
