--- a/crates/control-plane/examples/measure.rs
+++ b/crates/control-plane/examples/measure.rs
@@ -1,128 +1,211 @@
-//! Measures the control service with stand-in proxies on loopback:
+//! Measures the control plane with test proxies on loopback:
 //!
 //!     cargo run --release -p control-plane --example measure -- PROXIES NODES [delta|sotw] [CHANGES]
 //!
-//! The service runs on threads of its own, as it does by itself; proxies have four more. Each change drains one
-//! node and is over for a proxy when it no longer uses the node. The baseline hands out the list of nodes as it is:
-//! what a state of the world without shards would send again whole to every proxy for each change.
+//! The control plane runs on threads of its own, as it does in production; proxies have four more. Each change drains
+//! one node and is complete for a proxy when the proxy no longer uses the node. The baseline is to send the endpoint
+//! list as it is: what a state of the world without shards would send again to every proxy for each change.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
 
 use query_router::config::Config;
+use std::fs::DirEntry;
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use support::{address, config, entry, options};
+use support::{ZONES, address, config, entry, options};
 use test_servers::{Discovery, Proxy, Script};
 use tokio::sync::oneshot;
 
-const CELLS: usize = 16;
+const REPLICA_SETS: usize = 16;
+/// The time in which proxies have to react to a drain.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+/// The name of the control plane's threads.
+const SERVER_THREAD: &str = "control";
+/// The system counts processor time in hundredths of a second.
+const MICROS_PER_TICK: u64 = 10_000;
+const PROXY_THREADS: usize = 4;
 
-/// Kilobytes that the process holds.
-fn memory() -> u64 {
+/// What is measured.
+struct Arguments {
+    proxies: usize,
+    nodes: usize,
+    delta: bool,
+    changes: usize,
+}
+
+impl Arguments {
+    fn read() -> Arguments {
+        let args: Vec<String> = std::env::args().skip(1).collect();
+        let number = |index: usize, default: usize| {
+            args.get(index).and_then(|text| text.parse().ok()).unwrap_or(default)
+        };
+        Arguments {
+            proxies: number(0, 100),
+            nodes: number(1, 130),
+            delta: args.get(2).is_none_or(|variant| variant == "delta"),
+            changes: number(3, 20),
+        }
+    }
+}
+
+/// What was measured.
+struct Measurement {
+    /// How long it took until all proxies had a complete view.
+    start: Duration,
+    /// How long each change took until each proxy had applied it, sorted.
+    durations: Vec<Duration>,
+    /// What all proxies received for all changes.
+    bytes: usize,
+    /// Processor time of the control plane for all changes, in microseconds.
+    processor_time: u64,
+    /// The length of the endpoint list.
+    list_bytes: usize,
+    /// Memory of all proxies and their streams, in kilobytes.
+    memory: u64,
+}
+
+/// Memory that the process has, in kilobytes.
+fn resident_memory() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
-    line.and_then(|line| line.split_whitespace().nth(1)).and_then(|kb| kb.parse().ok()).unwrap_or(0)
+    let value = line.and_then(|line| line.split_whitespace().nth(1));
+    value.and_then(|kilobytes| kilobytes.parse().ok()).unwrap_or(0)
 }
 
-/// Microseconds of processor time of the service's threads.
-fn processor() -> u64 {
-    let tasks = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
-    let read = |task: &std::fs::DirEntry, file: &str| std::fs::read_to_string(task.path().join(file));
-    let ours = tasks.filter(|task| read(task, "comm").is_ok_and(|name| name.trim() == "control"));
-    let ticks = ours.map(|task| {
-        let stat = read(&task, "stat").unwrap_or_default();
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-        [11, 12].iter().filter_map(|&i| fields.get(i)?.parse::<u64>().ok()).sum::<u64>()
-    });
-    ticks.sum::<u64>() * 10_000
+/// Processor time of the control plane's threads, in microseconds.
+fn processor_time() -> u64 {
+    let threads = std::fs::read_dir("/proc/self/task").into_iter().flatten().flatten();
+    let read = |thread: &DirEntry, file: &str| std::fs::read_to_string(thread.path().join(file));
+    let is_server = |thread: &DirEntry| read(thread, "comm").is_ok_and(|name| name.trim() == SERVER_THREAD);
+    let ticks = threads
+        .filter(is_server)
+        .map(|thread| user_and_system_ticks(&read(&thread, "stat").unwrap_or_default()));
+    ticks.sum::<u64>() * MICROS_PER_TICK
 }
 
-fn at(sorted: &[Duration], share: f64) -> f64 {
-    let i = ((sorted.len().max(1) - 1) as f64 * share).round() as usize;
-    sorted.get(i).map_or(0.0, |time| time.as_secs_f64() * 1e3)
+/// The processor time in a thread's `stat` file; its fields are counted after the thread's name in parentheses.
+fn user_and_system_ticks(stat: &str) -> u64 {
+    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
+    let (user, system) = (11, 12);
+    [user, system].iter().filter_map(|&index| fields.get(index)?.parse::<u64>().ok()).sum()
+}
+
+/// A quantile in milliseconds.
+fn quantile(sorted: &[Duration], fraction: f64) -> f64 {
+    let index = ((sorted.len().max(1) - 1) as f64 * fraction).round() as usize;
+    sorted.get(index).map_or(0.0, |duration| duration.as_secs_f64() * 1e3)
 }
 
 fn main() {
-    let args: Vec<String> = std::env::args().skip(1).collect();
-    let number = |i: usize, absent| args.get(i).and_then(|a| a.parse::<usize>().ok()).unwrap_or(absent);
-    let (proxies, nodes, changes) = (number(0, 100), number(1, 130), number(3, 20));
-    let delta = args.get(2).is_none_or(|mode| mode == "delta");
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(4).enable_all().build();
-    runtime.expect("a runtime").block_on(measure(proxies, nodes, changes, delta));
+    let arguments = Arguments::read();
+    let runtime =
+        tokio::runtime::Builder::new_multi_thread().worker_threads(PROXY_THREADS).enable_all().build();
+    let measurement = runtime.expect("a runtime").block_on(measure(&arguments));
+    print(&arguments, &measurement);
 }
 
-async fn measure(count: usize, nodes: usize, changes: usize, delta: bool) {
-    let list: Vec<_> = (0..nodes).map(|node| entry(node, CELLS, "ready", 0)).collect();
-    let bare: usize = list.iter().map(|entry| entry.to_string().len()).sum();
-    let discovery = Discovery::start(7, list);
-    let config = Config { discovery: discovery.at, ..config(CELLS, 2, Vec::new()) };
-    let options = options(&format!("listen = 127.0.0.1:0\nexpected = {count}\nmost_proxies = 10000"));
-    let (ready, at_service) = oneshot::channel();
-    let (_stop, stopped) = oneshot::channel();
+/// Starts the control plane on threads of its own. Returns its address, and what stops it when it is dropped.
+async fn start_server(discovery: SocketAddr, proxies: usize) -> (SocketAddr, oneshot::Sender<()>) {
+    let config = Config { discovery, ..config(REPLICA_SETS, 2, Vec::new()) };
+    let options = options(&format!("listen = 127.0.0.1:0\nexpected = {proxies}\nmost_proxies = 10000"));
+    let (ready, address) = oneshot::channel();
+    let (stop, stop_requested) = oneshot::channel();
     std::thread::spawn(move || {
         let runtime = control_plane::runtime().expect("a runtime");
-        let running = control_plane::run(config, None, options, ready, stopped);
+        let running = control_plane::run(config, None, options, ready, stop_requested);
         runtime.block_on(async { tokio::spawn(running).await }).expect("a task").expect("it runs");
     });
-    let service = at_service.await.expect("it listens");
-    let before = memory();
-    let begun = Instant::now();
-    let all: Vec<_> = (0..count)
-        .map(|i| {
-            let script = Script::new(&format!("p{i:05}"), support::ZONES[i % 3], delta);
-            let proxy = Arc::new(Proxy::new(service, script));
-            let run = proxy.clone();
-            tokio::spawn(async move { run.run(None).await });
-            proxy
+    (address.await.expect("it listens"), stop)
+}
+
+/// Starts the proxies and waits until all have a complete view.
+async fn start_proxies(server: SocketAddr, arguments: &Arguments) -> Vec<Arc<Proxy>> {
+    let start = |index: usize| {
+        let script = Script::new(&format!("p{index:05}"), ZONES[index % ZONES.len()], arguments.delta);
+        let proxy = Arc::new(Proxy::new(server, script));
+        let running = proxy.clone();
+        tokio::spawn(async move { running.run(None).await });
+        proxy
+    };
+    let proxies: Vec<Arc<Proxy>> = (0..arguments.proxies).map(start).collect();
+    for proxy in &proxies {
+        proxy.wait("a complete view", |view| view.whole()).await;
+    }
+    proxies
+}
+
+/// Drains a node. Returns how long it took until each proxy no longer used it.
+async fn drain(discovery: &Discovery, proxies: &[Arc<Proxy>], node: usize) -> Vec<Duration> {
+    let wait = |proxy: &Arc<Proxy>| {
+        let proxy = proxy.clone();
+        tokio::spawn(async move {
+            proxy.wait("the drain", |view| !view.uses(address(node))).await;
+            Instant::now()
         })
-        .collect();
-    for proxy in &all {
-        proxy.wait("a whole view", |view| view.whole()).await;
+    };
+    let waits: Vec<_> = proxies.iter().map(wait).collect();
+    tokio::time::sleep(Duration::from_millis(20)).await;
+    let drained_at = Instant::now();
+    discovery.tell(vec![entry(node, REPLICA_SETS, "draining", 0)]);
+    let mut durations = Vec::new();
+    for wait in waits {
+        durations.push(wait.await.expect("a task") - drained_at);
     }
-    let start = begun.elapsed();
-    // Until nothing more comes: shares settle as proxies join.
+    tokio::time::sleep(Duration::from_millis(100)).await;
+    durations
+}
+
+async fn measure(arguments: &Arguments) -> Measurement {
+    let list: Vec<_> = (0..arguments.nodes).map(|node| entry(node, REPLICA_SETS, "ready", 0)).collect();
+    let list_bytes = list.iter().map(|entry| entry.to_string().len()).sum();
+    let discovery = Discovery::start(7, list);
+    let (server, _stop) = start_server(discovery.at, arguments.proxies).await;
+    let memory_before = resident_memory();
+    let started_at = Instant::now();
+    let proxies = start_proxies(server, arguments).await;
+    let start = started_at.elapsed();
+    // Until nothing more is sent: shares change as proxies connect.
     tokio::time::sleep(Duration::from_secs(2)).await;
-    let held = memory();
-    let bytes = |all: &[Arc<Proxy>]| all.iter().map(|proxy| proxy.bytes()).sum::<usize>();
-    let (bytes_before, processor_before) = (bytes(&all), processor());
-    let mut times = Vec::new();
-    for change in 0..changes {
-        let node = change * 7 % nodes;
-        let waits: Vec<_> = all
-            .iter()
-            .map(|proxy| {
-                let proxy = proxy.clone();
-                tokio::spawn(async move {
-                    proxy.wait("the drain", |view| !view.uses(address(node))).await;
-                    Instant::now()
-                })
-            })
-            .collect();
-        tokio::time::sleep(Duration::from_millis(20)).await;
-        let told = Instant::now();
-        discovery.tell(vec![entry(node, CELLS, "draining", 0)]);
-        for wait in waits {
-            times.push(wait.await.expect("a task") - told);
-        }
-        tokio::time::sleep(Duration::from_millis(100)).await;
+    let memory = resident_memory().saturating_sub(memory_before);
+    let received = || proxies.iter().map(|proxy| proxy.bytes()).sum::<usize>();
+    let (bytes_before, processor_before) = (received(), processor_time());
+    let mut durations = Vec::new();
+    for change in 0..arguments.changes {
+        durations.extend(drain(&discovery, &proxies, change * 7 % arguments.nodes).await);
     }
-    times.sort();
-    let per = |figure: f64| figure / changes.max(1) as f64;
-    let late = times.iter().filter(|time| **time > Duration::from_millis(500)).count();
+    durations.sort();
+    let bytes = received() - bytes_before;
+    Measurement {
+        start,
+        durations,
+        bytes,
+        processor_time: processor_time() - processor_before,
+        list_bytes,
+        memory,
+    }
+}
+
+fn print(arguments: &Arguments, measurement: &Measurement) {
+    let durations = &measurement.durations;
+    let by_change = |value: f64| value / arguments.changes.max(1) as f64;
+    let late = durations.iter().filter(|duration| **duration > DRAIN_GRACE).count();
     println!(
-        "{count} proxies, {nodes} nodes, {}: served after {:.0} ms; told to applied p50 {:.1} p99 {:.1} most {:.1} ms; \
+        "{} proxies, {} nodes, {}: served after {:.0} ms; told to applied p50 {:.1} p99 {:.1} most {:.1} ms; \
          over 500 ms {late} of {}; {:.0} KB and {:.1} ms of processor a change; baseline {:.0} KB; \
          {:.0} KB a proxy (both sides of it)",
-        if delta { "delta" } else { "state of the world" },
-        start.as_secs_f64() * 1e3,
-        at(&times, 0.5),
-        at(&times, 0.99),
-        at(&times, 1.0),
-        times.len(),
-        per((bytes(&all) - bytes_before) as f64 / 1e3),
-        per((processor() - processor_before) as f64 / 1e3),
-        bare as f64 * count as f64 / 1e3,
-        (held.saturating_sub(before)) as f64 / count as f64,
+        arguments.proxies,
+        arguments.nodes,
+        if arguments.delta { "delta" } else { "state of the world" },
+        measurement.start.as_secs_f64() * 1e3,
+        quantile(durations, 0.5),
+        quantile(durations, 0.99),
+        quantile(durations, 1.0),
+        durations.len(),
+        by_change(measurement.bytes as f64 / 1e3),
+        by_change(measurement.processor_time as f64 / 1e3),
+        measurement.list_bytes as f64 * arguments.proxies as f64 / 1e3,
+        measurement.memory as f64 / arguments.proxies as f64,
     );
 }
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -200,7 +200,7 @@
         self.renew_leases(now);
         self.push_to_partially_granted(now);
         let grace_started = now - self.site.drain_grace;
-        self.metrics.drains_overdue.set(self.drains.unacknowledged(grace_started) as i64);
+        self.metrics.drains_past_grace.set(self.drains.unacknowledged(grace_started) as i64);
         self.check_invariants();
     }
 
--- a/crates/control-plane/src/drain_tracker.rs
+++ b/crates/control-plane/src/drain_tracker.rs
@@ -82,8 +82,8 @@
 
     /// The number of pairs of a node and a proxy that has not acknowledged its drain, of drains up to `started_by`.
     pub fn unacknowledged(&self, started_by: Micros) -> usize {
-        let overdue = self.pending.values().filter(|pending| pending.drain.started_at <= started_by);
-        overdue.map(|pending| pending.waiting_for.len()).sum()
+        let pending = self.pending.values().filter(|pending| pending.drain.started_at <= started_by);
+        pending.map(|pending| pending.waiting_for.len()).sum()
     }
 }
 
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -32,7 +32,7 @@
     pub stale_nonces: Counter,
     pub streams_closed: Counter,
     pub drain_seconds: Histogram,
-    pub drains_overdue: Gauge,
+    pub drains_past_grace: Gauge,
     pub load_reports: Counter,
     pub load_reports_rejected: Counter,
     pub endpoint_updates: Counter,
@@ -57,7 +57,7 @@
             stale_nonces: Counter::default(),
             streams_closed: Counter::default(),
             drain_seconds: Histogram::new(DRAIN_BUCKETS),
-            drains_overdue: Gauge::default(),
+            drains_past_grace: Gauge::default(),
             load_reports: Counter::default(),
             load_reports_rejected: Counter::default(),
             endpoint_updates: Counter::default(),
@@ -97,7 +97,7 @@
         registry.register(
             "departures_late",
             "Pairs of node and proxy with a departure not accepted in the grace time",
-            metrics.drains_overdue.clone(),
+            metrics.drains_past_grace.clone(),
         );
         registry.register("reports", "Load reports taken", metrics.load_reports.clone());
         registry.register(
--- /dev/null
+++ b/crates/control-plane/tests/running_server/mod.rs
@@ -0,0 +1,93 @@
+//! The control plane on sockets, between a discovery and proxies on loopback.
+
+use crate::support::{config, entry, options};
+use control_plane::{Options, ServeError};
+use query_router::config::Config;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+use test_servers::{Discovery, Proxy, Script, View};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::sync::oneshot;
+use tokio::task::JoinHandle;
+
+/// How long the metrics may take to be read.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// A control plane that runs until it is dropped or stopped.
+pub struct RunningServer {
+    pub address: SocketAddr,
+    stop: oneshot::Sender<()>,
+    task: JoinHandle<Result<(), ServeError>>,
+}
+
+impl RunningServer {
+    /// Starts a control plane with these options on a free port.
+    pub async fn start(discovery: &Discovery, replica_sets: usize, text: &str) -> RunningServer {
+        let options = options(&format!("listen = 127.0.0.1:0\n{text}"));
+        RunningServer::start_with(discovery.at, replica_sets, options).await
+    }
+
+    async fn start_with(discovery: SocketAddr, replica_sets: usize, options: Options) -> RunningServer {
+        let config = Config { discovery, ..config(replica_sets, replica_sets.min(2), Vec::new()) };
+        let (ready, address) = oneshot::channel();
+        let (stop, stop_requested) = oneshot::channel();
+        let task = tokio::spawn(control_plane::run(config, None, options, ready, stop_requested));
+        RunningServer { address: address.await.expect("it listens"), stop, task }
+    }
+
+    /// Stops the control plane in order.
+    pub async fn stop(self) {
+        self.stop.send(()).expect("it runs");
+        self.task.await.expect("a task").expect("an orderly end");
+    }
+
+    /// The metrics, requested as an operator would.
+    pub async fn metrics(&self) -> String {
+        let request = async {
+            let mut stream = tokio::net::TcpStream::connect(self.address).await?;
+            stream.write_all(b"GET /-/counters HTTP/1.1\r\nHost: c\r\nConnection: close\r\n\r\n").await?;
+            let mut text = String::new();
+            stream.read_to_string(&mut text).await.map(|_| text)
+        };
+        let text: std::io::Result<String> =
+            tokio::time::timeout(METRICS_TIMEOUT, request).await.expect("an answer in time");
+        text.expect("an answer")
+    }
+
+    /// Starts a proxy that behaves as a script says.
+    pub fn start_proxy(&self, script: Script) -> Arc<Proxy> {
+        run_proxy(Proxy::new(self.address, script))
+    }
+
+    /// Starts a proxy that has a view already.
+    pub fn start_proxy_with(&self, script: Script, view: View) -> Arc<Proxy> {
+        let proxy = Proxy::new(self.address, script);
+        proxy.hold(view);
+        run_proxy(proxy)
+    }
+}
+
+fn run_proxy(proxy: Proxy) -> Arc<Proxy> {
+    let proxy = Arc::new(proxy);
+    let running = proxy.clone();
+    tokio::spawn(async move { running.run(None).await });
+    proxy
+}
+
+/// A discovery whose list has `nodes` ready nodes.
+pub fn start_discovery(nodes: usize, replica_sets: usize) -> Discovery {
+    Discovery::start(7, (0..nodes).map(|node| entry(node, replica_sets, "ready", 0)).collect())
+}
+
+/// Waits until each proxy has a complete view.
+pub async fn wait_for_complete_views(proxies: &[Arc<Proxy>]) {
+    for proxy in proxies {
+        proxy.until("a complete view", |view| view.whole()).await;
+    }
+}
+
+/// A discovery sends a node's drain.
+pub fn drain(discovery: &Discovery, node: usize, replica_sets: usize) {
+    discovery.tell(vec![entry(node, replica_sets, "draining", 0)]);
+}
