--- /dev/null
+++ b/crates/control-plane/src/control_plane/desired_state_update.rs
@@ -0,0 +1,92 @@
+//! Changes of the desired state, and the drains that they start.
+
+use super::ControlPlane;
+use super::proxy_state::ProxyState;
+use crate::desired_state::{DesiredState, ProxyCounts, is_node_cluster};
+use crate::drain_tracker::Drain;
+use crate::endpoint_table::EndpointSource;
+use crate::ids::ProxyId;
+use crate::resource::ResourceType;
+use balancer::Micros;
+
+impl ControlPlane {
+    /// Derives the desired state from the nodes' health, and pushes it to all proxies if it changed.
+    pub(super) fn update_desired_state(&mut self, now: Micros) {
+        if self.endpoints.source() == EndpointSource::None {
+            return;
+        }
+        let (proxies, instances) = (self.proxy_counts(now), self.options.instances);
+        let mut desired = DesiredState::new(now, &self.endpoints, &self.site, proxies, instances);
+        if self.desired.generation > 0 && desired.is_equivalent(&self.desired) {
+            return;
+        }
+        desired.generation = self.desired.generation + 1;
+        self.metrics.desired_states.inc();
+        self.track_drains(now, &desired);
+        self.resources.retain(&self.desired, &desired);
+        self.snapshots.clear();
+        self.desired = desired;
+        self.push_to_all(now);
+    }
+
+    /// The proxies by which capacity is divided: those that may act on what they were sent, and at least as many as
+    /// are expected. Guards against shares that change with each proxy that comes back after a start.
+    fn proxy_counts(&self, now: Micros) -> ProxyCounts {
+        let mut by_zone = vec![0; self.site.zones.len()];
+        for proxy in self.proxies.values() {
+            if let Some(count) = by_zone.get_mut(proxy.zone) {
+                *count += 1;
+            }
+        }
+        let is_starting = now < self.started_at + self.options.hold;
+        let expected = if is_starting { self.options.expected_proxies } else { 1 };
+        let zones = by_zone.len().max(1) as u32;
+        for count in &mut by_zone {
+            *count = (*count).max(expected / zones);
+        }
+        ProxyCounts { total: (self.proxies.len() as u32).max(expected), by_zone }
+    }
+
+    /// Tracks the drains of nodes that leave clusters, and no longer those of nodes that come back.
+    fn track_drains(&mut self, now: Micros, desired: &DesiredState) {
+        let (before, after) = (self.desired.nodes_in_use(), desired.nodes_in_use());
+        for (&node, clusters) in &before {
+            let remaining = after.get(&node).map_or(&[][..], Vec::as_slice);
+            let left: Vec<String> =
+                clusters.iter().filter(|name| !remaining.contains(name)).cloned().collect();
+            // A node that leaves its own cluster for its replica set's is warm now: nothing has to be drained.
+            let became_warm = !remaining.is_empty() && left.iter().all(|name| is_node_cluster(name));
+            if left.is_empty() || became_warm {
+                continue;
+            }
+            let proxies = self.proxies_with_endpoints(&left);
+            let drain = Drain { started_at: now, generation: desired.generation, clusters: left };
+            self.drains.start(node, drain, proxies.into_iter());
+        }
+        for (node, clusters) in after {
+            if joins_replica_set(&clusters, before.get(&node)) {
+                self.drains.cancel(node);
+            }
+        }
+    }
+
+    /// The proxies that may act on endpoints of one of these clusters.
+    fn proxies_with_endpoints(&self, clusters: &[String]) -> Vec<ProxyId> {
+        let endpoints = ResourceType::Endpoints;
+        let may_use = |proxy: &ProxyState| {
+            let session = &proxy.session;
+            clusters.iter().any(|name| {
+                session.acknowledged_generation(endpoints, name).is_some()
+                    || session.had_before(endpoints, name)
+                    || session.is_pending(endpoints, name)
+            })
+        };
+        self.proxies.iter().filter(|(_, proxy)| may_use(proxy)).map(|(&id, _)| id).collect()
+    }
+}
+
+/// Whether a node is in a replica set's cluster in which it was not before.
+fn joins_replica_set(clusters: &[String], before: Option<&Vec<String>>) -> bool {
+    let is_new = |name: &String| before.is_none_or(|before| !before.contains(name));
+    clusters.iter().any(|name| !is_node_cluster(name) && is_new(name))
+}
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -1,10 +1,12 @@
 //! The state machine of the control plane. Its methods take plain values and the time, change the state and leave
 //! effects for the caller. It uses no socket and no clock.
 
+mod desired_state_update;
 mod maintenance;
 mod proxy_state;
 mod push;
 mod request;
+mod snapshot;
 mod stream;
 mod stream_error;
 
@@ -68,11 +70,11 @@
 
 /// Whether proxies may act on what an earlier control plane handed out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Inheritance {
+enum EarlierVersions {
     /// No proxy has come with versions from before the start.
-    None,
+    Unseen,
     /// One has, so others that have not come back yet may act on such versions, too.
-    Possible,
+    InUse,
 }
 
 /// The state of the control plane.
@@ -90,7 +92,7 @@
     streams: BTreeMap<StreamId, StreamState>,
     proxy_ids: Ids<String>,
     proxies: BTreeMap<ProxyId, ProxyState>,
-    inheritance: Inheritance,
+    earlier_versions: EarlierVersions,
     started_at: Micros,
     watch_at: Option<Micros>,
     load_taken_at: Micros,
@@ -116,7 +118,7 @@
             streams: BTreeMap::new(),
             proxy_ids: Ids::default(),
             proxies: BTreeMap::new(),
-            inheritance: Inheritance::None,
+            earlier_versions: EarlierVersions::Unseen,
             started_at: now,
             watch_at: Some(now),
             load_taken_at: now,
--- a/crates/control-plane/src/control_plane/request.rs
+++ b/crates/control-plane/src/control_plane/request.rs
@@ -1,6 +1,6 @@
 //! Requests of proxies: discovery requests and load reports.
 
-use super::{ControlPlane, Effect, Inheritance, StreamError};
+use super::{ControlPlane, EarlierVersions, Effect, StreamError};
 use crate::ids::{ProxyId, StreamId};
 use crate::load_reports::{EndpointLoad, LoadCounts, MAX_ENTRIES};
 use crate::resource::{ResourceSnapshot, ResourceType};
@@ -91,7 +91,7 @@
             proxy.session.mark_resumed();
         }
         if proxy.session.is_resumed() {
-            self.inheritance = Inheritance::Possible;
+            self.earlier_versions = EarlierVersions::InUse;
         }
         self.snapshot(now, origin.proxy).resources
     }
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -65,67 +65,61 @@
             unusable_entries: Gauge::default(),
             invariants_broken: Counter::default(),
         };
-        let registry = &mut metrics.registry;
-        registry.register(
-            "proxies",
-            "Proxies known, those that left of late included",
-            metrics.proxies.clone(),
-        );
-        registry.register("streams", "Streams open", metrics.streams.clone());
-        registry.register("nodes", "Data nodes listed", metrics.nodes.clone());
-        registry.register(
-            "plans",
-            "Times that what proxies should do changed",
-            metrics.desired_states.clone(),
-        );
-        registry.register("responses", "Responses sent by type of resource", metrics.responses.clone());
-        registry.register_with_unit("content", "Content sent", Unit::Bytes, metrics.content_bytes.clone());
-        registry.register("accepted", "Responses that proxies accepted (ACK)", metrics.acks.clone());
-        registry.register("refused", "Responses that proxies refused (NACK)", metrics.nacks.clone());
+        metrics.register_proxies();
+        metrics.register_drains();
+        metrics.register_inputs();
+        metrics
+    }
+
+    fn register_proxies(&mut self) {
+        let registry = &mut self.registry;
+        registry.register("proxies", "Proxies known, those that left of late included", self.proxies.clone());
+        registry.register("streams", "Streams open", self.streams.clone());
+        registry.register("nodes", "Data nodes listed", self.nodes.clone());
+        registry.register("plans", "Times that what proxies should do changed", self.desired_states.clone());
+        registry.register("responses", "Responses sent by type of resource", self.responses.clone());
+        registry.register_with_unit("content", "Content sent", Unit::Bytes, self.content_bytes.clone());
+        registry.register("accepted", "Responses that proxies accepted (ACK)", self.acks.clone());
+        registry.register("refused", "Responses that proxies refused (NACK)", self.nacks.clone());
         registry.register(
             "stale",
             "Requests with a nonce that waits for no answer",
-            metrics.stale_nonces.clone(),
+            self.stale_nonces.clone(),
         );
-        registry.register("cut_off", "Streams ended from here", metrics.streams_closed.clone());
+        registry.register("cut_off", "Streams ended from here", self.streams_closed.clone());
+    }
+
+    fn register_drains(&mut self) {
+        let registry = &mut self.registry;
         registry.register_with_unit(
             "departure",
             "From the news that a node takes no new work to a proxy's acceptance",
             Unit::Seconds,
-            metrics.drain_seconds.clone(),
+            self.drain_seconds.clone(),
         );
         registry.register(
             "departures_late",
             "Pairs of node and proxy with a departure not accepted in the grace time",
-            metrics.drains_past_grace.clone(),
+            self.drains_past_grace.clone(),
         );
-        registry.register("reports", "Load reports taken", metrics.load_reports.clone());
+    }
+
+    fn register_inputs(&mut self) {
+        let registry = &mut self.registry;
+        registry.register("reports", "Load reports taken", self.load_reports.clone());
         registry.register(
             "reports_refused",
             "Load reports that could not be believed",
-            metrics.load_reports_rejected.clone(),
-        );
-        registry.register(
-            "lists",
-            "Lists and changes of them from discovery",
-            metrics.endpoint_updates.clone(),
+            self.load_reports_rejected.clone(),
         );
+        registry.register("lists", "Lists and changes of them from discovery", self.endpoint_updates.clone());
         registry.register(
             "lists_failed",
             "Calls to discovery that failed",
-            metrics.endpoint_updates_failed.clone(),
+            self.endpoint_updates_failed.clone(),
         );
-        registry.register(
-            "entries_unusable",
-            "Entries of lists passed over",
-            metrics.unusable_entries.clone(),
-        );
-        registry.register(
-            "invariants_broken",
-            "What must hold and did not",
-            metrics.invariants_broken.clone(),
-        );
-        metrics
+        registry.register("entries_unusable", "Entries of lists passed over", self.unusable_entries.clone());
+        registry.register("invariants_broken", "What must hold and did not", self.invariants_broken.clone());
     }
 
     /// All metrics in the OpenMetrics text format.
--- a/crates/control-plane/src/options.rs
+++ b/crates/control-plane/src/options.rs
@@ -12,7 +12,7 @@
 /// The shortest interval of load reports and probes.
 const MIN_SHORT_INTERVAL: Duration = Duration::from_millis(100);
 /// How values are described that are to be integers.
-const WHOLE_NUMBER: &str = "a whole number";
+const INTEGER: &str = "a whole number";
 /// How values are described that are to be socket addresses.
 const ADDRESS: &str = "an address with a port";
 
@@ -83,9 +83,9 @@
             listen: section.optional("listen", ADDRESS).map_err(OptionsError::new)?,
             service: section.text("service", "yewpier").map_err(OptionsError::new)?,
             proxy_listen: parsed(section, "proxy_listen", ([127, 0, 0, 1], 8080).into(), ADDRESS)?,
-            instances: parsed(section, "instances", 1, WHOLE_NUMBER)?,
-            expected_proxies: parsed(section, "expected", 1, WHOLE_NUMBER)?,
-            max_proxies: parsed(section, "most_proxies", 5000, WHOLE_NUMBER)?,
+            instances: parsed(section, "instances", 1, INTEGER)?,
+            expected_proxies: parsed(section, "expected", 1, INTEGER)?,
+            max_proxies: parsed(section, "most_proxies", 5000, INTEGER)?,
         };
         options.check(section)?;
         Ok(options)
--- a/crates/control-plane/src/server/grpc.rs
+++ b/crates/control-plane/src/server/grpc.rs
@@ -121,6 +121,17 @@
     }
 }
 
+/// The messages of a discovery stream.
+fn discovery_messages<T: 'static>(
+    messages: ReceiverStream<OutgoingMessage>, encode: impl Fn(&Response) -> T + Send + 'static,
+) -> MessageStream<T> {
+    Box::pin(messages.filter_map(move |message| match message {
+        OutgoingMessage::Response(response) => Some(Ok(encode(&response))),
+        OutgoingMessage::LoadReportSettings => None,
+        OutgoingMessage::End(status) => Some(Err(status)),
+    }))
+}
+
 #[async_trait]
 impl ads::aggregated_discovery_service_server::AggregatedDiscoveryService for GrpcServices {
     type StreamAggregatedResourcesStream = MessageStream<ads::DiscoveryResponse>;
@@ -132,13 +143,8 @@
         let service = Service::Discovery(ProtocolVariant::StateOfTheWorld);
         let messages = self.open(request, service, Event::StateOfTheWorldRequest).await?;
         let lease = self.lease;
-        Ok(tonic::Response::new(Box::pin(messages.filter_map(move |message| match message {
-            OutgoingMessage::Response(response) => {
-                Some(Ok(codec::state_of_the_world_response(&response, lease)))
-            }
-            OutgoingMessage::LoadReportSettings => None,
-            OutgoingMessage::End(status) => Some(Err(status)),
-        }))))
+        let encode = move |response: &Response| codec::state_of_the_world_response(response, lease);
+        Ok(tonic::Response::new(discovery_messages(messages, encode)))
     }
 
     async fn delta_aggregated_resources(
@@ -147,11 +153,8 @@
         let service = Service::Discovery(ProtocolVariant::Delta);
         let messages = self.open(request, service, Event::DeltaRequest).await?;
         let lease = self.lease;
-        Ok(tonic::Response::new(Box::pin(messages.filter_map(move |message| match message {
-            OutgoingMessage::Response(response) => Some(Ok(codec::delta_response(&response, lease))),
-            OutgoingMessage::LoadReportSettings => None,
-            OutgoingMessage::End(status) => Some(Err(status)),
-        }))))
+        let encode = move |response: &Response| codec::delta_response(response, lease);
+        Ok(tonic::Response::new(discovery_messages(messages, encode)))
     }
 }
 
--- a/crates/control-plane/src/session/mod.rs
+++ b/crates/control-plane/src/session/mod.rs
@@ -147,7 +147,7 @@
         max_requests
     }
 
-    /// Finds out what a proxy that came back has, if the version of the whole type that it named is known here.
+    /// Finds out what a proxy that came back has, if the version that it named for all resources of the type is known.
     fn resume_type(&mut self, resource_type: ResourceType, desired: &ResourceSnapshot) {
         let desired = desired.of_type(resource_type);
         if desired.is_empty() {
--- a/crates/control-plane/src/session/push.rs
+++ b/crates/control-plane/src/session/push.rs
@@ -35,7 +35,7 @@
 struct ResponseContent {
     resources: Vec<Arc<Resource>>,
     removed: Vec<String>,
-    /// The version of the whole type.
+    /// The version of all resources of the type together.
     type_version: String,
 }
 
--- a/crates/control-plane/src/session/request.rs
+++ b/crates/control-plane/src/session/request.rs
@@ -135,7 +135,12 @@
             subscription.set_initial_versions(resource_type, request.initial_versions, desired, previous);
         }
         for name in request.subscribe {
-            subscription.subscribe(resource_type, name, is_first);
+            // "the server must still provide those resources": a later request for a resource that the proxy has asks
+            // for it again.
+            if !is_first && name != WILDCARD {
+                subscription.send_again(&name);
+            }
+            subscription.subscribe(resource_type, name);
         }
         for name in &request.unsubscribe {
             subscription.wildcard &= name != WILDCARD;
@@ -174,19 +179,19 @@
     }
 
     /// Subscribes to one more name.
-    fn subscribe(&mut self, resource_type: ResourceType, name: String, is_first_request: bool) {
+    fn subscribe(&mut self, resource_type: ResourceType, name: String) {
         if name == WILDCARD {
             self.wildcard = resource_type.is_full_state();
-            return;
-        }
-        // "the server must still provide those resources": a later request for a resource that the proxy has asks for
-        // it again.
-        if !is_first_request {
-            self.sent.remove(&name);
-            self.rejected.remove(&name);
-            self.reported_missing.remove(&name);
+        } else {
+            self.names.insert(name);
         }
-        self.names.insert(name);
+    }
+
+    /// Lets a resource be sent again, even if the proxy has it, has rejected it, or was told that it does not exist.
+    fn send_again(&mut self, name: &str) {
+        self.sent.remove(name);
+        self.rejected.remove(name);
+        self.reported_missing.remove(name);
     }
 }
 
--- a/crates/control-plane/src/session/response.rs
+++ b/crates/control-plane/src/session/response.rs
@@ -21,7 +21,7 @@
     pub kind: ResponseKind,
     /// The nonce by which the proxy answers it.
     pub nonce: String,
-    /// The version of the whole type; empty in the incremental variant.
+    /// The version of all resources of the type together; empty in the incremental variant.
     pub version: String,
     /// The resources that it carries.
     pub resources: Vec<Arc<Resource>>,
--- a/crates/control-plane/src/session/subscription.rs
+++ b/crates/control-plane/src/session/subscription.rs
@@ -34,7 +34,7 @@
 pub(super) struct PendingResponse {
     pub nonce: u64,
     pub sent_at: Micros,
-    /// The version of the whole type.
+    /// The version of all resources of the type together.
     pub type_version: String,
     pub changes: Vec<ResourceChange>,
 }
@@ -65,7 +65,7 @@
     pub acknowledged: BTreeMap<String, KnownVersion>,
     /// Versions that the proxy rejected, by name of the resource.
     pub rejected: BTreeMap<String, String>,
-    /// The version of the whole type that the proxy rejected last.
+    /// The version of all resources of the type that the proxy rejected last.
     pub rejected_type_version: Option<String>,
     /// Resources that were rejected together with others. Each is sent alone once, so that one invalid resource
     /// does not hold up the rest.
@@ -74,7 +74,7 @@
     pub reported_missing: BTreeSet<String>,
     pub pending: VecDeque<PendingResponse>,
     pub last_nonce: u64,
-    /// The version of the whole type with which the proxy came, until it is known what that contains.
+    /// The version of all resources of the type with which the proxy came, until it is known what it contains.
     pub claimed_version: Option<String>,
 }
 
--- a/crates/control-plane/src/site_settings.rs
+++ b/crates/control-plane/src/site_settings.rs
@@ -31,7 +31,7 @@
     pub name: String,
     pub idempotency: Idempotency,
     pub latency_objective: Micros,
-    /// When a request is given up: at the deadline if a late answer has a value, else at the latency objective, as
+    /// When a request times out: at the deadline if a late answer has a value, else at the latency objective, as
     /// in a router.
     pub request_timeout: Micros,
 }
--- a/crates/control-plane/src/tls.rs
+++ b/crates/control-plane/src/tls.rs
@@ -136,7 +136,7 @@
     paths.map(|path| std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok())
 }
 
-/// The DNS names in a certificate's subjectAltName (RFC 5280, 4.2.1.6): the proxy ids that its holder may use.
+/// The DNS names in a certificate's subjectAltName (RFC 5280, 4.2.1.6): the proxy ids that its owner may use.
 pub(crate) fn dns_names(certificate: &[u8]) -> Vec<String> {
     let Ok((_, certificate)) = X509Certificate::from_der(certificate) else { return Vec::new() };
     let Ok(Some(names)) = certificate.subject_alternative_name() else { return Vec::new() };
--- a/crates/control-plane/tests/simulation/mod.rs
+++ b/crates/control-plane/tests/simulation/mod.rs
@@ -95,7 +95,7 @@
         simulation
     }
 
-    /// Discovery sends its whole list.
+    /// Discovery sends its full list.
     pub fn send_full_list(&mut self) {
         let members: Vec<&Json> = self.entries.values().collect();
         let list = json!({"revision": 1, "complete": true, "members": members});
