--- a/crates/control-plane/examples/measure.rs
+++ b/crates/control-plane/examples/measure.rs
@@ -2,9 +2,10 @@
 //!
 //!     cargo run --release -p control-plane --example measure -- PROXIES NODES [delta|sotw] [CHANGES]
 //!
-//! The control plane runs on threads of its own, as it does in production; proxies have four more. Each change drains
-//! one node and is complete for a proxy when the proxy no longer uses the node. The baseline is to send the endpoint
-//! list as it is: what a state of the world without shards would send again to every proxy for each change.
+//! The control plane runs on threads of its own, as it does in production; proxies have four more. Each
+//! change drains one node and is complete for a proxy when the proxy no longer uses the node. The baseline is
+//! to send the endpoint list as it is: what a state of the world without shards would send again to every
+//! proxy for each change.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -85,7 +86,8 @@
     ticks.sum::<u64>() * MICROS_PER_TICK
 }
 
-/// The processor time in a thread's `stat` file; its fields are counted after the thread's name in parentheses.
+/// The processor time in a thread's `stat` file; its fields are counted after the thread's name in
+/// parentheses.
 fn user_and_system_ticks(stat: &str) -> u64 {
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let (user, system) = (11, 12);
--- a/crates/control-plane/src/capacity_ledger.rs
+++ b/crates/control-plane/src/capacity_ledger.rs
@@ -1,8 +1,8 @@
 //! The capacity ledger: how many requests each proxy may have in flight to each cluster.
 //!
-//! The capacity of a cluster is what the balancer allows all routers together; each proxy is granted a part of it.
-//! Grants are lowered before others are raised: what a proxy may still act on counts until it has acknowledged
-//! less, or has been disconnected for long enough.
+//! The capacity of a cluster is what the balancer allows all routers together; each proxy is granted a part
+//! of it. Grants are lowered before others are raised: what a proxy may still act on counts until it has
+//! acknowledged less, or has been disconnected for long enough.
 
 use crate::ids::ProxyId;
 use std::collections::BTreeMap;
@@ -76,8 +76,9 @@
         self.clusters.get(cluster).map_or(0, |grants| grants.total)
     }
 
-    /// What may be granted to a proxy now: less at once, more only as far as other proxies have released capacity, so
-    /// that the total never exceeds the capacity, whichever proxy has not applied its new grant yet.
+    /// What may be granted to a proxy now: less at once, more only as far as other proxies have released
+    /// capacity, so that the total never exceeds the capacity, whichever proxy has not applied its new grant
+    /// yet.
     pub fn offer(&self, cluster: &str, proxy: ProxyId, request: CapacityRequest) -> u32 {
         let granted = self.granted(cluster, proxy);
         if request.target <= granted {
--- a/crates/control-plane/src/control_plane/desired_state_update.rs
+++ b/crates/control-plane/src/control_plane/desired_state_update.rs
@@ -29,8 +29,8 @@
         self.push_to_all(now);
     }
 
-    /// The proxies by which capacity is divided: those that may act on what they were sent, and at least as many as
-    /// are expected. Guards against shares that change with each proxy that comes back after a start.
+    /// The proxies by which capacity is divided: those that may act on what they were sent, and at least as
+    /// many as are expected. Guards against shares that change with each proxy that comes back after a start.
     fn proxy_counts(&self, now: Micros) -> ProxyCounts {
         let mut by_zone = vec![0; self.site.zones.len()];
         for proxy in self.proxies.values() {
@@ -54,7 +54,8 @@
             let remaining = after.get(&node).map_or(&[][..], Vec::as_slice);
             let left: Vec<String> =
                 clusters.iter().filter(|name| !remaining.contains(name)).cloned().collect();
-            // A node that leaves its own cluster for its replica set's is warm now: nothing has to be drained.
+            // A node that leaves its own cluster for its replica set's is warm now: nothing has to be
+            // drained.
             let became_warm = !remaining.is_empty() && left.iter().all(|name| is_node_cluster(name));
             if left.is_empty() || became_warm {
                 continue;
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -1,5 +1,5 @@
-//! The state machine of the control plane. Its methods take plain values and the time, change the state and leave
-//! effects for the caller. It uses no socket and no clock.
+//! The state machine of the control plane. Its methods take plain values and the time, change the state and
+//! leave effects for the caller. It uses no socket and no clock.
 
 mod desired_state_update;
 mod maintenance;
@@ -34,11 +34,13 @@
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
+use std::time::Duration;
 
-/// The interval at which `ControlPlane::tick` is to be called. The balancer decides at each tick, and at once after
-/// an endpoint update.
+/// The interval at which `ControlPlane::tick` is to be called. The balancer decides at each tick, and at once
+/// after an endpoint update.
 pub const TICK_INTERVAL: Micros = 50_000;
-/// How long after a failed endpoint update discovery is watched again, where the balancer does not request it.
+/// How long after a failed endpoint update discovery is watched again, where the balancer does not request
+/// it.
 const WATCH_RETRY_DELAY: Micros = 2_000_000;
 /// The stream of a dump, which no proxy has.
 const DUMP_STREAM: StreamId = StreamId(u64::MAX);
@@ -153,6 +155,11 @@
         self.metrics.text()
     }
 
+    /// How long a probe of a data node may take to connect.
+    pub(crate) fn probe_timeout(&self) -> Duration {
+        self.site.probe_timeout
+    }
+
     /// Takes in an endpoint list in discovery's form, or the news that there is none.
     pub fn endpoint_update(&mut self, now: Micros, list: &Json, update: EndpointUpdate) {
         let mut actions = RequestedActions::default();
--- a/crates/control-plane/src/control_plane/request.rs
+++ b/crates/control-plane/src/control_plane/request.rs
@@ -78,8 +78,8 @@
         Some(RequestOrigin { stream, proxy, resource_type })
     }
 
-    /// The snapshot with which the first request of a type is compared, which may show that the proxy comes back with
-    /// versions from before. Later requests need none.
+    /// The snapshot with which the first request of a type is compared, which may show that the proxy comes
+    /// back with versions from before. Later requests need none.
     fn desired_at_request(
         &mut self, now: Micros, origin: &RequestOrigin, has_versions: bool,
     ) -> Arc<ResourceSnapshot> {
@@ -151,11 +151,7 @@
             };
             match (node, LoadCounts::checked(load, interval)) {
                 (Some(node), Ok(counts)) => self.load_reports.add(proxy, node, &counts),
-                (None, _) => rejected += 1,
-                (_, Err(error)) => {
-                    tracing::debug!(address = %load.address, %error, "load report entry rejected");
-                    rejected += 1;
-                }
+                (None, _) | (_, Err(_)) => rejected += 1,
             }
         }
         rejected
--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -28,8 +28,8 @@
     record: LedgerRecord,
 }
 
-/// Whether the ledger contains all that is offered. What it does not contain may be granted to other proxies before
-/// it is sent.
+/// Whether the ledger contains all that is offered. What it does not contain may be granted to other proxies
+/// before it is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum LedgerRecord {
     Complete,
@@ -45,8 +45,8 @@
         if let Some(cached) = proxy.snapshot.as_ref().filter(|cached| cached.generation == generation) {
             return ProxySnapshot { resources: cached.resources.clone(), grants: GrantStatus::Full };
         }
-        // Guards against a list from before the start that takes proxies back to an older state: only proxies that
-        // have nothing get it.
+        // Guards against a list from before the start that takes proxies back to an older state: only proxies
+        // that have nothing get it.
         let is_current = self.endpoints.source() == EndpointSource::Discovery;
         if generation == 0 || !is_current && proxy.session.is_resumed() {
             return empty;
@@ -119,8 +119,8 @@
         offer
     }
 
-    /// Whether proxies may be granted more of a constrained node than they have. Guards against a node that is warming
-    /// up while proxies that have not come back yet still take it for warm.
+    /// Whether proxies may be granted more of a constrained node than they have. Guards against a node that
+    /// is warming up while proxies that have not come back yet still take it for warm.
     fn may_raise(&self, now: Micros, node: NodeId) -> bool {
         let waits_for_proxies =
             self.earlier_versions == EarlierVersions::InUse && now < self.started_at + self.options.hold;
@@ -136,7 +136,8 @@
 }
 
 impl GrantOffer {
-    /// Notes what is offered of one cluster, in relation to the proxy's fair share and to what it was granted.
+    /// Notes what is offered of one cluster, in relation to the proxy's fair share and to what it was
+    /// granted.
     fn add(&mut self, target: u32, offered: u32, granted: u32) {
         if offered < target {
             self.status = GrantStatus::Partial;
--- a/crates/control-plane/src/control_plane/stream.rs
+++ b/crates/control-plane/src/control_plane/stream.rs
@@ -43,7 +43,8 @@
         self.effects.push(Effect::CloseStream { stream, error });
     }
 
-    /// The proxy of a stream, which its first message names. Ends the stream if it names none that may be served.
+    /// The proxy of a stream, which its first message names. Ends the stream if it names none that may be
+    /// served.
     pub(super) fn identify_proxy(
         &mut self, now: Micros, stream: StreamId, node: Option<ProxyNode>,
     ) -> Option<ProxyId> {
--- a/crates/control-plane/src/desired_state.rs
+++ b/crates/control-plane/src/desired_state.rs
@@ -1,8 +1,9 @@
-//! The desired state: what all proxies together should do, as plain values. It says which nodes hold which shards,
-//! how healthy they are, how many requests may be in flight at each, and how much of each zone's work stays in it.
+//! The desired state: what all proxies together should do, as plain values. It says which nodes hold which
+//! shards, how healthy they are, how many requests may be in flight at each, and how much of each zone's work
+//! stays in it.
 //!
-//! What the balancer says is rounded to steps, so that the desired state changes when something did and not with
-//! every sample.
+//! What the balancer says is rounded to steps, so that the desired state changes when something did and not
+//! with every sample.
 
 use crate::endpoint_table::{EndpointTable, EndpointView};
 use crate::fair_share::{proxy_divisor, round_down};
@@ -95,7 +96,8 @@
 }
 
 impl DesiredState {
-    /// Derives the desired state from the nodes' health. Capacity is divided among `instances` control planes.
+    /// Derives the desired state from the nodes' health. Capacity is divided among `instances` control
+    /// planes.
     pub fn new(
         now: Micros, endpoints: &EndpointTable, site: &SiteSettings, proxies: ProxyCounts, instances: u32,
     ) -> DesiredState {
@@ -133,8 +135,8 @@
         }
     }
 
-    /// How much of a zone's work its own nodes take: all of it, unless that exceeds their share of the capacity of
-    /// all nodes. Otherwise nearby nodes would be overloaded because they are nearby.
+    /// How much of a zone's work its own nodes take: all of it, unless that exceeds their share of the
+    /// capacity of all nodes. Otherwise nearby nodes would be overloaded because they are nearby.
     fn local_percent(&self, zone: usize, members: &[ReplicaSetMember], total: u32) -> u32 {
         let local: u32 =
             members.iter().filter(|member| member.zone == zone).map(|member| member.capacity).sum();
@@ -167,9 +169,9 @@
         used
     }
 
-    /// The weight of a constrained node's cluster, relative to one shard request of its replica set. The cluster goes
-    /// to fewer proxies than there are, so each of them sends more to make up for the others; but no proxy sends it
-    /// more than a healthy node.
+    /// The weight of a constrained node's cluster, relative to one shard request of its replica set. The
+    /// cluster goes to fewer proxies than there are, so each of them sends more to make up for the others;
+    /// but no proxy sends it more than a healthy node.
     pub fn route_weight(&self, replica_set: &ReplicaSet, constrained: &ConstrainedNode) -> u32 {
         let healthy = replica_set.members.iter().map(|member| member.capacity).max().unwrap_or(0);
         let divisor = proxy_divisor(self.proxies.total);
--- a/crates/control-plane/src/discovery_watch.rs
+++ b/crates/control-plane/src/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! The watch of discovery: one request that returns the endpoint list, then each change of it, until the connection
-//! ends.
+//! The watch of discovery: one request that returns the endpoint list, then each change of it, until the
+//! connection ends.
 
 use balancer::EndpointUpdate;
 use bytes::Bytes;
@@ -54,7 +54,8 @@
     ReceiverClosed,
 }
 
-/// Reads one watch until it ends. `revision` is updated to that of the last list; each list goes to `updates`.
+/// Reads one watch until it ends. `revision` is updated to that of the last list; each list goes to
+/// `updates`.
 pub(crate) async fn watch(
     address: SocketAddr, revision: &mut u64, updates: &Sender<EndpointListUpdate>,
 ) -> WatchError {
@@ -129,8 +130,8 @@
     Later,
 }
 
-/// The update in a line. An empty line has none, unless it is the first: then nothing changed since the revision that
-/// was requested.
+/// The update in a line. An empty line has none, unless it is the first: then nothing changed since the
+/// revision that was requested.
 fn parse_line(
     line: &[u8], position: LinePosition, revision: &mut u64,
 ) -> Result<Option<EndpointListUpdate>, WatchError> {
--- a/crates/control-plane/src/drain_tracker.rs
+++ b/crates/control-plane/src/drain_tracker.rs
@@ -1,7 +1,7 @@
 //! The drain tracker: nodes that are to get no new work, and the proxies that may still send it.
 //!
-//! A drain is complete once each proxy has acknowledged endpoints without the node. A node that came back after a
-//! crash gets work again only then.
+//! A drain is complete once each proxy has acknowledged endpoints without the node. A node that came back
+//! after a crash gets work again only then.
 
 use crate::ids::ProxyId;
 use crate::resource::ResourceType;
@@ -80,7 +80,8 @@
         });
     }
 
-    /// The number of pairs of a node and a proxy that has not acknowledged its drain, of drains up to `started_by`.
+    /// The number of pairs of a node and a proxy that has not acknowledged its drain, of drains up to
+    /// `started_by`.
     pub fn unacknowledged(&self, started_by: Micros) -> usize {
         let pending = self.pending.values().filter(|pending| pending.drain.started_at <= started_by);
         pending.map(|pending| pending.waiting_for.len()).sum()
--- a/crates/control-plane/src/encode/endpoints.rs
+++ b/crates/control-plane/src/encode/endpoints.rs
@@ -1,4 +1,5 @@
-//! Cluster load assignments (EDS): which nodes a proxy of a zone uses, and how much of its work each zone takes.
+//! Cluster load assignments (EDS): which nodes a proxy of a zone uses, and how much of its work each zone
+//! takes.
 
 use super::{encode_address, uint32};
 use crate::desired_state::{ConstrainedNode, DesiredState, MemberHealth, ReplicaSet};
@@ -47,7 +48,8 @@
     assignment(name, localities.collect(), replica_set.drop_percent)
 }
 
-/// The endpoint of a constrained node; none if it is no longer constrained, for proxies that still use its cluster.
+/// The endpoint of a constrained node; none if it is no longer constrained, for proxies that still use its
+/// cluster.
 pub(crate) fn constrained_node_endpoints(
     name: &str, node: Option<&ConstrainedNode>, zone_names: &[String],
 ) -> Vec<u8> {
@@ -70,8 +72,8 @@
     zones
 }
 
-/// Divides the work of a proxy among zones: its own zone takes what the desired state says, the others the rest by
-/// their spare capacity.
+/// Divides the work of a proxy among zones: its own zone takes what the desired state says, the others the
+/// rest by their spare capacity.
 fn rank_localities(
     state: &DesiredState, replica_set: &ReplicaSet, proxy_zone: usize, zones: &BTreeMap<usize, ZoneEndpoints>,
 ) -> Vec<LocalityRank> {
--- a/crates/control-plane/src/encode/listeners.rs
+++ b/crates/control-plane/src/encode/listeners.rs
@@ -8,7 +8,8 @@
 use xds_api::pb::envoy::extensions::filters::http::router::v3::Router;
 use xds_api::pb::envoy::extensions::filters::network::http_connection_manager::v3 as hcm;
 
-/// The listener of a proxy at `proxy_listen`, and the API listener of proxyless clients with the name `service`.
+/// The listener of a proxy at `proxy_listen`, and the API listener of proxyless clients with the name
+/// `service`.
 pub(crate) fn listeners(service: &str, proxy_listen: SocketAddr) -> [Resource; 2] {
     let manager = connection_manager();
     let filter = lds::Filter {
--- a/crates/control-plane/src/encode/mod.rs
+++ b/crates/control-plane/src/encode/mod.rs
@@ -1,5 +1,5 @@
-//! Encoding of the desired state as xDS v3 messages. `docs/control.md` compares the rules of the balancer with what these
-//! messages can express.
+//! Encoding of the desired state as xDS v3 messages. `docs/control.md` compares the rules of the balancer
+//! with what these messages can express.
 
 mod cluster;
 mod endpoints;
--- a/crates/control-plane/src/encode/routes.rs
+++ b/crates/control-plane/src/encode/routes.rs
@@ -14,8 +14,8 @@
 const CLASS_HEADER: &str = "x-qos";
 /// The header field by which a request names its shard.
 const SHARD_HEADER: &str = "x-shard";
-/// When any request is retried: if it cannot have been executed, since no connection was established or the stream
-/// was refused (RFC 9113, 8.7).
+/// When any request is retried: if it cannot have been executed, since no connection was established or the
+/// stream was refused (RFC 9113, 8.7).
 const RETRY_NOT_EXECUTED: &str = "connect-failure,refused-stream";
 /// When an idempotent request is retried: after any failure.
 const RETRY_IDEMPOTENT: &str = "connect-failure,refused-stream,reset,5xx";
@@ -83,7 +83,8 @@
     }
 }
 
-/// The cluster of the replica set, or several by weight if the proxy also has clusters of its constrained nodes.
+/// The cluster of the replica set, or several by weight if the proxy also has clusters of its constrained
+/// nodes.
 fn cluster_specifier(
     state: &DesiredState, index: usize, replica_set: &ReplicaSet, constrained: &[String],
 ) -> rds::route_action::ClusterSpecifier {
--- a/crates/control-plane/src/endpoint_table.rs
+++ b/crates/control-plane/src/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! The data nodes: the endpoint list as discovery tells it, and the balancer that says how healthy each node is.
+//! The data nodes: the endpoint list as discovery tells it, and the balancer that says how healthy each node
+//! is.
 //!
 //! The table decides nothing itself. The balancer runs here as it runs in a router.
 
--- a/crates/control-plane/src/fair_share.rs
+++ b/crates/control-plane/src/fair_share.rs
@@ -1,7 +1,7 @@
 //! How a cluster's capacity is divided among proxies, without regard to what they have been granted so far.
 
-/// The number by which capacity is divided for `proxies` proxies: the next of 1, 2, 3, 4, 6, 8, 12, 16, 24, ... so
-/// that a proxy more or less does not change the share of every other proxy.
+/// The number by which capacity is divided for `proxies` proxies: the next of 1, 2, 3, 4, 6, 8, 12, 16, 24,
+/// ... so that a proxy more or less does not change the share of every other proxy.
 pub(crate) fn proxy_divisor(proxies: u32) -> u32 {
     steps().find(|&step| step >= proxies.max(1)).unwrap_or(u32::MAX)
 }
@@ -19,7 +19,8 @@
 /// Who gets a request where there is less than one for each proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ScarcityRule {
-    /// Every proxy, for clusters of healthy nodes: the balancer's own limit never falls under one call either.
+    /// Every proxy, for clusters of healthy nodes: the balancer's own limit never falls under one call
+    /// either.
     OneForEach,
     /// As many proxies as there are requests, chosen by hash, for clusters of constrained nodes.
     OneForSome,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,21 +1,21 @@
-//! The control plane: hands the balancer's decisions to other proxies through xDS v3, and takes what they report as
-//! evidence.
+//! The control plane: hands the balancer's decisions to other proxies through xDS v3, and takes what they
+//! report as evidence.
 //!
-//! 1. It watches discovery (`discovery_watch`) and passes each list to the balancer (`endpoint_table`), as a router
-//!    does.
-//! 2. The balancer says how healthy each node is; the desired state (`desired_state`) follows from that: which nodes
-//!    hold which shards, how much may be in flight where, what is to be rejected.
+//! 1. It watches discovery (`discovery_watch`) and passes each list to the balancer (`endpoint_table`), as a
+//!    router does.
+//! 2. The balancer says how healthy each node is; the desired state (`desired_state`) follows from that:
+//!    which nodes hold which shards, how much may be in flight where, what is to be rejected.
 //! 3. The desired state is encoded as resources (`encode`), each once for all proxies that get the same
 //!    (`resource_cache`).
-//! 4. A proxy opens a stream and subscribes (`session`). It is sent what it does not have, in an order that leaves no
-//!    gap.
-//! 5. The capacity of clusters is divided among proxies (`fair_share`, `capacity_ledger`): grants are lowered before
-//!    others are raised.
+//! 4. A proxy opens a stream and subscribes (`session`). It is sent what it does not have, in an order that
+//!    leaves no gap.
+//! 5. The capacity of clusters is divided among proxies (`fair_share`, `capacity_ledger`): grants are lowered
+//!    before others are raised.
 //! 6. A node that is to get no new work is tracked until each proxy has acknowledged that (`drain_tracker`).
 //! 7. Load reports of proxies are checked, pooled (`load_reports`) and passed to the balancer.
 //!
-//! `control_plane` is the state machine that holds all of it; `server` and `codec` connect it to sockets, `tls` reads
-//! the certificates. `docs/control.md` says which designs were considered.
+//! `control_plane` is the state machine that holds all of it; `server` and `codec` connect it to sockets,
+//! `tls` reads the certificates. `docs/control.md` says which designs were considered.
 
 #![warn(missing_docs)]
 
--- a/crates/control-plane/src/load_reports.rs
+++ b/crates/control-plane/src/load_reports.rs
@@ -1,8 +1,9 @@
 //! Load reports of proxies, pooled so that no proxy is believed against the others.
 //!
-//! Reports are evidence and not truth. Their counts are checked and bounded, and of each node a proxy counts for no
-//! more than the one that reports the second most requests. A single report is believed for want of another; against
-//! one proxy that saw the node answer it makes half, and the balancer ejects for more than half.
+//! Reports are evidence and not truth. Their counts are checked and bounded, and of each node a proxy counts
+//! for no more than the one that reports the second most requests. A single report is believed for want of
+//! another; against one proxy that saw the node answer it makes half, and the balancer ejects for more than
+//! half.
 
 use crate::ids::ProxyId;
 use balancer::{LoadReport, Micros, NodeId};
@@ -57,8 +58,8 @@
 }
 
 impl LoadCounts {
-    /// The counts of an endpoint over an interval. The mean latency follows from how many requests are in progress
-    /// and how many end (Little's law).
+    /// The counts of an endpoint over an interval. The mean latency follows from how many requests are in
+    /// progress and how many end (Little's law).
     pub fn checked(load: &EndpointLoad, interval: Micros) -> Result<LoadCounts, LoadReportError> {
         let EndpointLoad { succeeded, failed, in_progress, issued, .. } = *load;
         if [succeeded, failed, in_progress, issued].iter().any(|&count| count > MAX_COUNT) {
@@ -166,7 +167,8 @@
         let bounded = LoadCounts { in_progress: counts.in_progress.min(max_in_progress), ..*counts };
         pooled.add(&bounded, (max_ended / counts.ended().max(MIN_ENDED)).min(1.0));
     }
-    // An unreachable node counts like the report of another proxy; a reachable one says nothing of its answers.
+    // An unreachable node counts like the report of another proxy; a reachable one says nothing of its
+    // answers.
     if let Some(probed) = probed.filter(|probed| probed.connect_failures > 0.0) {
         pooled.add(&probed, max_ended.max(1.0));
     }
--- a/crates/control-plane/src/resource.rs
+++ b/crates/control-plane/src/resource.rs
@@ -43,8 +43,8 @@
         ResourceType::ALL.into_iter().find(|resource_type| resource_type.type_url() == type_url)
     }
 
-    /// Whether a state-of-the-world response lists all resources of the type, so that the proxy removes those that
-    /// it leaves out. Only such types support wildcard subscriptions.
+    /// Whether a state-of-the-world response lists all resources of the type, so that the proxy removes those
+    /// that it leaves out. Only such types support wildcard subscriptions.
     pub fn is_full_state(self) -> bool {
         matches!(self, ResourceType::Cluster | ResourceType::Listener)
     }
@@ -76,8 +76,8 @@
     }
 }
 
-/// The version of some content. Versions are hashes, so that two control planes with the same data hand out the same
-/// versions.
+/// The version of some content. Versions are hashes, so that two control planes with the same data hand out
+/// the same versions.
 pub(crate) fn content_version(content: &[u8]) -> String {
     blake3::hash(content).to_hex()[..VERSION_LENGTH].to_string()
 }
--- a/crates/control-plane/src/resource_cache.rs
+++ b/crates/control-plane/src/resource_cache.rs
@@ -69,7 +69,8 @@
         let (old, new) = (&previous.constrained_nodes, &state.constrained_nodes);
         self.constrained_endpoints.retain(|name, _| new.contains_key(name) && old.get(name) == new.get(name));
         self.routes.clear();
-        // Clusters depend on nothing but their key; those of nodes that are no longer constrained are dropped.
+        // Clusters depend on nothing but their key; those of nodes that are no longer constrained are
+        // dropped.
         self.clusters.retain(|key, _| !is_node_cluster(&key.name) || new.contains_key(&key.name));
     }
 
--- a/crates/control-plane/src/server/connection.rs
+++ b/crates/control-plane/src/server/connection.rs
@@ -19,7 +19,8 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// How often it is checked whether the certificates' files changed.
 const CERTIFICATE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long to wait after a connection could not be accepted, for want of file descriptors: others must close first.
+/// How long to wait after a connection could not be accepted, for want of file descriptors: others must close
+/// first.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A connection.
--- a/crates/control-plane/src/server/discovery.rs
+++ b/crates/control-plane/src/server/discovery.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, mpsc};
 
-/// Watches discovery each time `requested` is notified. A new address ends the watch at the old one and starts another
-/// from the first revision.
+/// Watches discovery each time `requested` is notified. A new address ends the watch at the old one and
+/// starts another from the first revision.
 pub(super) async fn watch_discovery(
     mut address: tokio::sync::watch::Receiver<SocketAddr>, requested: Arc<Notify>,
     updates: mpsc::Sender<EndpointListUpdate>,
--- a/crates/control-plane/src/server/driver.rs
+++ b/crates/control-plane/src/server/driver.rs
@@ -8,7 +8,6 @@
 use crate::ids::StreamId;
 use crate::load_reports::ProbeResult;
 use crate::options::Options;
-use crate::site_settings::SiteSettings;
 use query_router::config::Config;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -54,14 +53,15 @@
     /// A driver whose own tasks send their results to `events`.
     pub fn new(config: &Config, options: Options, events: mpsc::Sender<Event>) -> Driver {
         let clock = Clock::new();
+        let control_plane = ControlPlane::new(clock.now(), config, options);
         Driver {
-            control_plane: ControlPlane::new(clock.now(), config, options),
+            probe_timeout: control_plane.probe_timeout(),
+            control_plane,
             clock,
             streams: HashMap::new(),
             watch_requested: Arc::default(),
             events,
             probe_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_PROBES)),
-            probe_timeout: SiteSettings::new(config).probe_timeout,
         }
     }
 
--- a/crates/control-plane/src/server/grpc.rs
+++ b/crates/control-plane/src/server/grpc.rs
@@ -1,5 +1,5 @@
-//! The gRPC services: each stream has a task that carries its messages to the driver, and a channel for what is sent
-//! back.
+//! The gRPC services: each stream has a task that carries its messages to the driver, and a channel for what
+//! is sent back.
 
 use super::driver::Event;
 use crate::codec;
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The server: sockets, the clock, signals and files around the state machine. One task drives the state machine; a task
-//! for each stream carries messages to it and back. The server decides nothing.
+//! The server: sockets, the clock, signals and files around the state machine. One task drives the state
+//! machine; a task for each stream carries messages to it and back. The server decides nothing.
 
 mod clock;
 mod connection;
@@ -99,8 +99,8 @@
     }
 }
 
-/// Serves until `stop` or a signal requests the end. `ready` gets the address on which the server listens; `path` is the
-/// file of the configuration, which is read again on SIGHUP.
+/// Serves until `stop` or a signal requests the end. `ready` gets the address on which the server listens;
+/// `path` is the file of the configuration, which is read again on SIGHUP.
 pub async fn run(
     config: Config, path: Option<String>, options: Options, ready: oneshot::Sender<SocketAddr>,
     stop: oneshot::Receiver<()>,
@@ -157,7 +157,8 @@
     signal(kind).map_err(ServeError::Signals)
 }
 
-/// The threads of the server. They encode messages and use sockets, while one task at a time drives the state machine.
+/// The threads of the server. They encode messages and use sockets, while one task at a time drives the state
+/// machine.
 pub fn runtime() -> Result<Runtime, ServeError> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(MAX_THREADS);
     Builder::new_multi_thread()
--- a/crates/control-plane/src/session/mod.rs
+++ b/crates/control-plane/src/session/mod.rs
@@ -1,11 +1,11 @@
-//! One proxy's stream of the aggregated discovery service, state of the world or incremental: its subscriptions, what
-//! it was sent, acknowledged (ACK) and rejected (NACK), and what is to be pushed next.
+//! One proxy's stream of the aggregated discovery service, state of the world or incremental: its
+//! subscriptions, what it was sent, acknowledged (ACK) and rejected (NACK), and what is to be pushed next.
 //!
-//! The session uses no socket and no clock. It follows the page "xDS REST and gRPC protocol", whose section titles
-//! stand in quotes.
+//! The session uses no socket and no clock. It follows the page "xDS REST and gRPC protocol", whose section
+//! titles stand in quotes.
 //!
-//! A response of a type waits until the one before it is answered, so that a slow proxy gets the newest state and
-//! never a queue of history. Only endpoints without a drained node may overtake, up to a limit.
+//! A response of a type waits until the one before it is answered, so that a slow proxy gets the newest state
+//! and never a queue of history. Only endpoints without a drained node may overtake, up to a limit.
 
 mod push;
 mod request;
@@ -121,15 +121,15 @@
         self.subscription(ResourceType::Cluster).sent.keys()
     }
 
-    /// The generation of the version that the proxy is known to act on, for a resource that it has; 0 if another
-    /// control plane made it.
+    /// The generation of the version that the proxy is known to act on, for a resource that it has; 0 if
+    /// another control plane made it.
     pub fn acknowledged_generation(&self, resource_type: ResourceType, name: &str) -> Option<u64> {
         let known = self.subscription(resource_type).acknowledged.get(name)?;
         Some(known.resource.as_ref().map_or(0, |resource| resource.generation))
     }
 
-    /// The clusters in a version that the proxy may act on, with the most requests that it may have in flight by any
-    /// of these versions.
+    /// The clusters in a version that the proxy may act on, with the most requests that it may have in flight
+    /// by any of these versions.
     pub fn max_requests_in_force(&self) -> BTreeMap<String, u32> {
         let subscription = self.subscription(ResourceType::Cluster);
         let acknowledged = if subscription.is_requested() {
@@ -147,7 +147,8 @@
         max_requests
     }
 
-    /// Finds out what a proxy that came back has, if the version that it named for all resources of the type is known.
+    /// Finds out what a proxy that came back has, if the version that it named for all resources of the type
+    /// is known.
     fn resume_type(&mut self, resource_type: ResourceType, desired: &ResourceSnapshot) {
         let desired = desired.of_type(resource_type);
         if desired.is_empty() {
@@ -168,8 +169,8 @@
         subscription.sent = subscription.acknowledged.clone();
     }
 
-    /// Lets versions refer to the desired resources with the same content, so that they count as of the newest
-    /// generation.
+    /// Lets versions refer to the desired resources with the same content, so that they count as of the
+    /// newest generation.
     fn refresh_endpoint_generations(&mut self, desired: &ResourceSnapshot) {
         let desired = desired.of_type(ResourceType::Endpoints);
         let endpoints = self.subscription_mut(ResourceType::Endpoints);
--- a/crates/control-plane/src/session/push.rs
+++ b/crates/control-plane/src/session/push.rs
@@ -40,8 +40,9 @@
 }
 
 impl DiscoverySession {
-    /// Returns what is to be sent now: clusters, endpoints, listeners, then routes once all clusters to which they
-    /// route were acknowledged. Clusters and endpoints to which nothing routes any longer are removed after that.
+    /// Returns what is to be sent now: clusters, endpoints, listeners, then routes once all clusters to which
+    /// they route were acknowledged. Clusters and endpoints to which nothing routes any longer are removed
+    /// after that.
     pub fn push(&mut self, now: Micros, desired: &ResourceSnapshot, urgency: Urgency) -> Vec<Response> {
         for resource_type in ResourceType::ALL {
             self.resume_type(resource_type, desired);
@@ -121,8 +122,8 @@
         routes.pending.is_empty() && desired.of_type(ResourceType::Route).iter().all(is_current)
     }
 
-    /// Guards against a route to a cluster without endpoints. Only a proxy that takes all clusters needs this: one that
-    /// asks for clusters by name does so after its routes, and holds these back itself.
+    /// Guards against a route to a cluster without endpoints. Only a proxy that takes all clusters needs
+    /// this: one that asks for clusters by name does so after its routes, and holds these back itself.
     fn may_push_routes(&self, desired: &ResourceSnapshot) -> bool {
         let clusters = self.subscription(ResourceType::Cluster);
         let endpoints = self.subscription(ResourceType::Endpoints);
@@ -150,7 +151,8 @@
         Some(response)
     }
 
-    /// The next response of one type, if there is anything to send and fewer than `max_pending` are unanswered.
+    /// The next response of one type, if there is anything to send and fewer than `max_pending` are
+    /// unanswered.
     fn next_response(
         &mut self, now: Micros, resource_type: ResourceType, desired: &ResourceSnapshot, removal: Removal,
         max_pending: usize,
--- a/crates/control-plane/src/session/request.rs
+++ b/crates/control-plane/src/session/request.rs
@@ -87,8 +87,8 @@
 }
 
 impl DiscoverySession {
-    /// Takes in a state-of-the-world request ("ACK/NACK and resource type instance version", "How the client specifies
-    /// what resources to return").
+    /// Takes in a state-of-the-world request ("ACK/NACK and resource type instance version", "How the client
+    /// specifies what resources to return").
     pub fn state_of_the_world_request(
         &mut self, resource_type: ResourceType, request: StateOfTheWorldRequest, desired: &ResourceSnapshot,
     ) -> Result<Acknowledgement, RequestError> {
@@ -135,8 +135,8 @@
             subscription.set_initial_versions(resource_type, request.initial_versions, desired, previous);
         }
         for name in request.subscribe {
-            // "the server must still provide those resources": a later request for a resource that the proxy has asks
-            // for it again.
+            // "the server must still provide those resources": a later request for a resource that the proxy
+            // has asks for it again.
             if !is_first && name != WILDCARD {
                 subscription.send_again(&name);
             }
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Lets a resource be sent again, even if the proxy has it, has rejected it, or was told that it does not exist.
+    /// Lets a resource be sent again, even if the proxy has it, has rejected it, or was told that it does not
+    /// exist.
     fn send_again(&mut self, name: &str) {
         self.sent.remove(name);
         self.rejected.remove(name);
--- a/crates/control-plane/src/session/subscription.rs
+++ b/crates/control-plane/src/session/subscription.rs
@@ -1,4 +1,5 @@
-//! One resource type on a stream: the subscription, and the versions that were sent, acknowledged and rejected.
+//! One resource type on a stream: the subscription, and the versions that were sent, acknowledged and
+//! rejected.
 
 use super::request::Acknowledgement;
 use crate::resource::{Resource, ResourcesByName, content_version};
@@ -67,14 +68,15 @@
     pub rejected: BTreeMap<String, String>,
     /// The version of all resources of the type that the proxy rejected last.
     pub rejected_type_version: Option<String>,
-    /// Resources that were rejected together with others. Each is sent alone once, so that one invalid resource
-    /// does not hold up the rest.
+    /// Resources that were rejected together with others. Each is sent alone once, so that one invalid
+    /// resource does not hold up the rest.
     pub send_alone: BTreeSet<String>,
     /// Names that the proxy was told not to exist.
     pub reported_missing: BTreeSet<String>,
     pub pending: VecDeque<PendingResponse>,
     pub last_nonce: u64,
-    /// The version of all resources of the type with which the proxy came, until it is known what it contains.
+    /// The version of all resources of the type with which the proxy came, until it is known what it
+    /// contains.
     pub claimed_version: Option<String>,
 }
 
@@ -128,8 +130,8 @@
         })
     }
 
-    /// The changed resources for the next response: all that may be sent together, else one of those that are sent
-    /// alone.
+    /// The changed resources for the next response: all that may be sent together, else one of those that are
+    /// sent alone.
     pub fn next_changed(&self, desired: &ResourcesByName) -> Vec<Arc<Resource>> {
         let changed = self.changed(desired).cloned();
         let (alone, together): (Vec<_>, Vec<_>) =
--- a/crates/control-plane/src/site_settings.rs
+++ b/crates/control-plane/src/site_settings.rs
@@ -31,8 +31,8 @@
     pub name: String,
     pub idempotency: Idempotency,
     pub latency_objective: Micros,
-    /// When a request times out: at the deadline if a late answer has a value, else at the latency objective, as
-    /// in a router.
+    /// When a request times out: at the deadline if a late answer has a value, else at the latency objective,
+    /// as in a router.
     pub request_timeout: Micros,
 }
 
@@ -88,8 +88,8 @@
         self.zones.iter().position(|known| known == zone).unwrap_or(self.zones.len())
     }
 
-    /// Whether the nodes of replica set `node_set` hold the shards that start with `shard_set`: shards are assigned
-    /// to replica sets in turn, and each shard to as many consecutive sets as the settings say.
+    /// Whether the nodes of replica set `node_set` hold the shards that start with `shard_set`: shards are
+    /// assigned to replica sets in turn, and each shard to as many consecutive sets as the settings say.
     pub fn holds_shards(&self, node_set: usize, shard_set: usize) -> bool {
         let distance = (node_set % self.replica_sets + self.replica_sets - shard_set) % self.replica_sets;
         distance < self.replica_sets_per_shard
--- a/crates/control-plane/src/tls.rs
+++ b/crates/control-plane/src/tls.rs
@@ -1,6 +1,6 @@
-//! Mutual TLS: the certificate of the control plane, the authority of the proxies' certificates, and the names that
-//! a proxy's certificate contains. Files are read again when they change; files that cannot be used leave the earlier
-//! ones in force.
+//! Mutual TLS: the certificate of the control plane, the authority of the proxies' certificates, and the
+//! names that a proxy's certificate contains. Files are read again when they change; files that cannot be
+//! used leave the earlier ones in force.
 
 use crate::options::TlsFiles;
 use rustls_pki_types::pem::{self, PemObject};
--- a/crates/control-plane/tests/machine.rs
+++ b/crates/control-plane/tests/machine.rs
@@ -599,7 +599,8 @@
     assert_eq!(simulation.proxies_using(6), 3);
 }
 
-/// Simulates faults drawn from a seed. Invariants are checked after each step, and at the end all proxies agree.
+/// Simulates faults drawn from a seed. Invariants are checked after each step, and at the end all proxies
+/// agree.
 fn simulate_random_faults(seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let nodes = random.usize(8..30);
--- a/crates/control-plane/tests/simulation/mod.rs
+++ b/crates/control-plane/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! Proxies and the state machine of the control plane with a simulated clock. Each response reaches its proxy after that
-//! proxy's latency, and invariants are checked after each step.
+//! Proxies and the state machine of the control plane with a simulated clock. Each response reaches its proxy
+//! after that proxy's latency, and invariants are checked after each step.
 
 use crate::support::{ZONES, address, config, entry, node_id, options};
 use balancer::{EndpointUpdate, Micros};
@@ -69,7 +69,8 @@
     pub peak_grants: BTreeMap<String, PeakGrant>,
     /// Nodes that are to get no new work, and since when the control plane knows that.
     drained_since: BTreeMap<usize, Micros>,
-    /// By cluster of a constrained node. Grants may exceed a lowered capacity until the slowest proxy has heard of it.
+    /// By cluster of a constrained node. Grants may exceed a lowered capacity until the slowest proxy has
+    /// heard of it.
     capacities: BTreeMap<String, VecDeque<CapacityChange>>,
 }
 
@@ -108,7 +109,8 @@
         self.control_plane.endpoint_update(self.now, &Json::Null, EndpointUpdate::Failed);
     }
 
-    /// Discovery sends changes: nodes, their states and when they started. A node that is gone leaves the list.
+    /// Discovery sends changes: nodes, their states and when they started. A node that is gone leaves the
+    /// list.
     pub fn update_endpoints(&mut self, changes: &[(usize, &str, Micros)]) {
         let changed = |&(node, state, started_at): &(usize, &str, Micros)| {
             entry(node, self.replica_sets, state, started_at)
@@ -288,7 +290,8 @@
         self.check_grants();
     }
 
-    /// A proxy that was connected when a drain became known uses the node only until it has heard of the drain.
+    /// A proxy that was connected when a drain became known uses the node only until it has heard of the
+    /// drain.
     fn check_drains(&self) {
         for (&node, &since) in &self.drained_since {
             let connected = self.proxies.iter().filter(|proxy| proxy.stream.is_some());
@@ -301,8 +304,8 @@
         }
     }
 
-    /// Proxies together are granted no more of a constrained node than its capacity, or than one that was in force until
-    /// recently.
+    /// Proxies together are granted no more of a constrained node than its capacity, or than one that was in
+    /// force until recently.
     fn check_grants(&mut self) {
         for usage in self.control_plane.constrained_usage() {
             let (cluster, capacity) = (usage.cluster, usage.capacity);
