--- a/crates/control-plane/tests/loopback.rs
+++ b/crates/control-plane/tests/loopback/main.rs
@@ -1,6 +1,7 @@
 //! The control plane on sockets, between a discovery and proxies on loopback.
 
 mod running_server;
+#[path = "../support/mod.rs"]
 mod support;
 
 use control_plane::ServeError;
--- /dev/null
+++ b/crates/control-plane/tests/machine/random_faults.rs
@@ -0,0 +1,70 @@
+//! Faults drawn from a seed.
+
+use crate::MILLISECOND;
+use crate::simulation::{SECOND, Simulation};
+
+/// Simulates faults drawn from a seed. Invariants are checked after each step, and at the end all proxies
+/// agree.
+fn simulate_random_faults(seed: u64) {
+    let mut random = fastrand::Rng::with_seed(seed);
+    let nodes = random.usize(8..30);
+    let mut simulation = Simulation::new(nodes, 4, random.usize(1..3), "hold = 10m");
+    for _ in 0..random.usize(2..14) {
+        let latency = random.i64(0..800 * MILLISECOND);
+        simulation.add_proxy(random.bool(), latency);
+    }
+    let mut unused: Vec<usize> = Vec::new();
+    for _ in 0..40 {
+        let (node, proxy) = (random.usize(0..nodes), random.usize(0..simulation.proxies.len()));
+        match random.u8(0..8) {
+            0 | 1 => {
+                simulation.update_endpoints(&[(node, "draining", 0)]);
+                unused.push(node);
+            }
+            2 => {
+                simulation.update_endpoints(&[(node, "ready", simulation.now)]);
+                unused.retain(|&other| other != node);
+            }
+            3 => {
+                simulation.update_endpoints(&[(node, "gone", 0)]);
+                unused.push(node);
+            }
+            4 => simulation.disconnect(proxy),
+            5 => simulation.proxies[proxy].disconnect_after = Some(random.usize(1..4)),
+            6 => simulation.fail_endpoint_update(),
+            _ => simulation.send_full_list(),
+        }
+        for proxy in simulation.disconnected() {
+            if random.bool() {
+                simulation.connect(proxy);
+            }
+        }
+        simulation.advance(random.i64(0..1_500 * MILLISECOND));
+    }
+    simulation.connect_all();
+    for proxy in &mut simulation.proxies {
+        proxy.disconnect_after = None;
+    }
+    simulation.advance(40 * SECOND);
+    for node in 0..nodes {
+        let expected = if unused.contains(&node) { 0 } else { simulation.proxies.len() };
+        assert_eq!(simulation.proxies_using(node), expected, "seed {seed}: node {node}");
+    }
+    assert!(simulation.proxies.iter().all(|proxy| proxy.subscriber.view.whole()), "seed {seed}");
+    assert_eq!(simulation.metric("departures_late"), 0.0, "seed {seed}");
+}
+
+#[test]
+fn under_random_faults_no_view_is_partially_applied_and_all_proxies_agree_at_the_end() {
+    (0..60).for_each(simulate_random_faults);
+}
+
+/// `cargo test --release -p control-plane --test machine -- --ignored`
+#[test]
+#[ignore = "a long run of the same, some minutes"]
+fn random_faults_for_two_thousand_seeds() {
+    for seed in 60..2000 {
+        println!("seed {seed}");
+        simulate_random_faults(seed);
+    }
+}
