--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -77,16 +77,18 @@
 
     /// What can be offered to a proxy now of each cluster.
     fn offer(&self, now: Micros, id: ProxyId, proxy: &ProxyState) -> GrantOffer {
-        let mut offer = GrantOffer {
-            grants: ProxyGrants {
-                zone: proxy.zone,
-                replica_sets: Vec::new(),
-                constrained: Vec::new(),
-                leaving: Vec::new(),
-            },
-            status: GrantStatus::Full,
-            record: LedgerRecord::Complete,
+        let mut offer = GrantOffer::new(proxy.zone);
+        self.offer_replica_sets(&mut offer, id, proxy);
+        self.offer_constrained_nodes(&mut offer, now, id, proxy);
+        let constrained = &offer.grants.constrained;
+        let is_left = |name: &&String| {
+            is_node_cluster(name) && !constrained.iter().any(|grant| grant.cluster == **name)
         };
+        offer.grants.leaving = proxy.session.sent_clusters().filter(is_left).cloned().collect();
+        offer
+    }
+
+    fn offer_replica_sets(&self, offer: &mut GrantOffer, id: ProxyId, proxy: &ProxyState) {
         let desired = &self.desired;
         for (replica_set, cluster) in desired.replica_sets.iter().zip(&desired.cluster_names) {
             let capacity = replica_set.capacity;
@@ -96,7 +98,10 @@
             offer.add(target, max_requests, self.ledger.granted(cluster, id));
             offer.grants.replica_sets.push(max_requests);
         }
-        for (cluster, node) in &desired.constrained_nodes {
+    }
+
+    fn offer_constrained_nodes(&self, offer: &mut GrantOffer, now: Micros, id: ProxyId, proxy: &ProxyState) {
+        for (cluster, node) in &self.desired.constrained_nodes {
             let target = self.target(cluster, node.capacity, ScarcityRule::OneForSome, &proxy.name);
             let granted = self.ledger.granted(cluster, id);
             let max_requests = if self.may_raise(now, node.node) {
@@ -111,12 +116,6 @@
                 offer.grants.constrained.push(ConstrainedGrant { cluster, max_requests });
             }
         }
-        let constrained = &offer.grants.constrained;
-        let is_left = |name: &&String| {
-            is_node_cluster(name) && !constrained.iter().any(|grant| grant.cluster == **name)
-        };
-        offer.grants.leaving = proxy.session.sent_clusters().filter(is_left).cloned().collect();
-        offer
     }
 
     /// Whether proxies may be granted more of a constrained node than they have. Guards against a node that
@@ -136,6 +135,16 @@
 }
 
 impl GrantOffer {
+    /// Nothing is offered yet.
+    fn new(zone: usize) -> GrantOffer {
+        let (replica_sets, constrained, leaving) = (Vec::new(), Vec::new(), Vec::new());
+        GrantOffer {
+            grants: ProxyGrants { zone, replica_sets, constrained, leaving },
+            status: GrantStatus::Full,
+            record: LedgerRecord::Complete,
+        }
+    }
+
     /// Notes what is offered of one cluster, in relation to the proxy's fair share and to what it was
     /// granted.
     fn add(&mut self, target: u32, offered: u32, granted: u32) {
