--- /dev/null
+++ b/crates/control-plane/tests/loopback/main.rs
@@ -0,0 +1,302 @@
+//! The control plane on sockets, between a discovery and proxies on loopback.
+
+mod running_server;
+#[path = "../support/mod.rs"]
+mod support;
+
+use control_plane::ServeError;
+use query_router::config::Config;
+use running_server::{RunningServer, drain, start_discovery, wait_for_complete_views};
+use std::io::Write;
+use std::net::TcpStream;
+use std::path::{Path, PathBuf};
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+use support::{ZONES, address, config, options};
+use test_servers::{EndpointLoad, Proxy, ProxyTls, Script};
+use tokio::sync::oneshot;
+
+/// The time in which proxies have to react to a drain.
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
+
+#[tokio::test(flavor = "multi_thread")]
+async fn no_proxy_uses_a_drained_node_after_half_a_second() {
+    let discovery = start_discovery(24, 4);
+    let server = RunningServer::start(&discovery, 4, "").await;
+    let script = |index: usize| {
+        let delay = Duration::from_millis(index as u64 % 4 * 100);
+        let zone = ZONES[index % ZONES.len()];
+        Script { delay, ..Script::new(&format!("p{index}"), zone, index.is_multiple_of(2)) }
+    };
+    let proxies: Vec<_> = (0..24).map(|index| server.start_proxy(script(index))).collect();
+    for proxy in &proxies {
+        proxy.until("a complete view", |view| view.is_complete() && view.uses(address(5))).await;
+    }
+    // A fifth of the nodes, one after the other.
+    for node in 0..5 {
+        let drained_at = Instant::now();
+        drain(&discovery, node, 4);
+        for proxy in &proxies {
+            proxy.until("the drain", |view| !view.uses(address(node))).await;
+        }
+        assert!(drained_at.elapsed() < DRAIN_GRACE, "{node}: {:?}", drained_at.elapsed());
+    }
+    assert!(proxies.iter().all(|proxy| proxy.view().gaps.is_empty()));
+    let metrics = server.metrics().await;
+    assert!(
+        metrics.contains("application/openmetrics-text") && metrics.contains("proxies 24\n"),
+        "{metrics}"
+    );
+    assert!(metrics.contains("invariants_broken_total 0\n"), "{metrics}");
+    server.stop().await;
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn proxies_keep_their_views_while_the_control_plane_or_discovery_is_away() {
+    let discovery = start_discovery(12, 4);
+    let server = RunningServer::start(&discovery, 4, "expected = 3").await;
+    let script = |index: usize| Script::new(&format!("p{index}"), ZONES[index], true);
+    let proxies: Vec<Arc<Proxy>> =
+        (0..3).map(|index| Arc::new(Proxy::new(server.address, script(index)))).collect();
+    let running = proxies.iter().cloned().map(|proxy| tokio::spawn(async move { proxy.run(None).await }));
+    let running: Vec<_> = running.collect();
+    wait_for_complete_views(&proxies).await;
+    // Discovery goes away and comes back; changes after that arrive.
+    discovery.set_down(true);
+    let calls = discovery.requests();
+    while discovery.requests() < calls + 1 {
+        tokio::time::sleep(Duration::from_millis(20)).await;
+    }
+    assert!(proxies.iter().all(|proxy| proxy.view().is_complete()));
+    discovery.set_down(false);
+    drain(&discovery, 3, 4);
+    for proxy in &proxies {
+        proxy.until("the drain", |view| !view.uses(address(3))).await;
+    }
+    for _ in 0..3 {
+        let metrics = server.metrics().await;
+        let has_failed_updates = !metrics.contains("lists_failed_total 0\n");
+        assert!(metrics.contains("departures_late 0\n") && has_failed_updates, "{metrics}");
+    }
+    // The control plane ends: streams end, views stay. Its successor sends nothing that they have.
+    server.stop().await;
+    for task in running {
+        task.await.expect("a task");
+    }
+    let successor = RunningServer::start(&discovery, 4, "expected = 3").await;
+    let reconnected: Vec<_> = proxies
+        .iter()
+        .map(|before| successor.start_proxy_with(before.script.clone(), before.view()))
+        .collect();
+    drain(&discovery, 4, 4);
+    for (before, after) in proxies.iter().zip(&reconnected) {
+        let view = after.until("the next drain", |view| !view.uses(address(4))).await;
+        let messages = view.log[before.view().log.len()..].iter();
+        let assignments = messages.filter(|(type_url, _)| type_url.ends_with("Assignment"));
+        let endpoints = assignments.flat_map(|(_, names)| names);
+        // Nodes 3 and 4 hold the shards of replica sets 2, 3 and 0; the endpoints of set 1 did not change.
+        let unchanged: Vec<_> = endpoints.filter(|name| *name == "shards-1").collect();
+        assert!(unchanged.is_empty(), "{unchanged:?}");
+        assert!(view.is_complete());
+    }
+    successor.stop().await;
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn load_reports_of_most_proxies_eject_a_node() {
+    let discovery = start_discovery(8, 4);
+    let server = RunningServer::start(&discovery, 4, "report_every = 100ms").await;
+    let script = |index| Script::new(&format!("p{index}"), "east", true);
+    let proxies: Vec<_> = (0..3).map(|index| server.start_proxy(script(index))).collect();
+    wait_for_complete_views(&proxies).await;
+    let failed = EndpointLoad { at: address(2), succeeded: 0, errors: 40, in_progress: 0, issued: 40 };
+    let succeeded = EndpointLoad { succeeded: 40, errors: 0, ..failed };
+    let other = EndpointLoad { at: address(1), in_progress: 1, ..succeeded };
+    let mut reporters = Vec::new();
+    for (index, proxy) in proxies.iter().enumerate() {
+        let rows = vec![if index == 0 { succeeded } else { failed }, other];
+        reporters.push(proxy.report(1, rows).await.expect("it requests reports"));
+    }
+    for reporter in &reporters[1..] {
+        reporter.send(1, vec![failed]).await;
+    }
+    for proxy in &proxies {
+        let view = proxy.until("the ejection", |view| !view.uses(address(2))).await;
+        assert!(view.uses(address(1)));
+    }
+    server.stop().await;
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_node_that_probes_cannot_reach_is_ejected() {
+    let discovery = start_discovery(4, 4);
+    // One node accepts connections, at an address of its own; nothing listens at the others' addresses.
+    let reachable = test_servers::data_node();
+    let entry = test_servers::member("n0000", &reachable.to_string(), "east", 0, "ready", 0);
+    discovery.publish(vec![entry]);
+    let server = RunningServer::start(&discovery, 4, "probe_every = 100ms\nreport_every = 100ms").await;
+    let proxy = server.start_proxy(Script::new("p", "east", true));
+    let unreachable = [address(1), address(2)];
+    let is_ejected = |view: &test_servers::View| !unreachable.iter().any(|&node| view.uses(node));
+    proxy.until("the ejection", |view| view.uses(reachable) && is_ejected(view)).await;
+    server.stop().await;
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn invalid_bytes_and_silent_connections_harm_no_other_proxy() {
+    let discovery = start_discovery(8, 4);
+    let server = RunningServer::start(&discovery, 4, "").await;
+    let steady = server.start_proxy(Script::new("steady", "east", true));
+    steady.until("a complete view", |view| view.is_complete()).await;
+    let connect = || TcpStream::connect(server.address).expect("a connection");
+    let mut random = fastrand::Rng::with_seed(5);
+    let silent: Vec<TcpStream> = (0..50).map(|_| connect()).collect();
+    for index in 0..50 {
+        let mut stream = connect();
+        let mut bytes: Vec<u8> = (0..random.usize(1..5000)).map(|_| random.u8(..)).collect();
+        if index % 2 == 0 {
+            bytes.splice(0..0, *b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
+        }
+        // The server may close the connection before all is written.
+        let _ = stream.write_all(&bytes);
+    }
+    // A request with an invalid name, and one that is larger than the server accepts.
+    let channel = steady.channel().await.expect("a connection");
+    for size in [100, 5 << 20] {
+        let names = vec!["x".repeat(size)];
+        let status = test_servers::request_unknown_type(channel.clone(), "odd", names).await;
+        assert!(!matches!(status.code(), tonic::Code::Ok), "{status:?}");
+    }
+    drain(&discovery, 1, 4);
+    steady.until("the drain", |view| !view.uses(address(1))).await;
+    drop(silent);
+    server.stop().await;
+}
+
+/// A certificate and its key, as PEM.
+#[derive(Clone)]
+struct Certificate {
+    certificate: String,
+    key: String,
+}
+
+/// An authority's certificate, and those that it signed for the control plane and for proxy `p`, as PEM.
+struct Certificates {
+    authority: String,
+    control_plane: Certificate,
+    proxy: Certificate,
+}
+
+impl Certificates {
+    fn generate() -> Certificates {
+        let mut params = rcgen::CertificateParams::new(Vec::new()).expect("parameters");
+        params.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
+        let key = rcgen::KeyPair::generate().expect("a key");
+        let authority = params.self_signed(&key).expect("a certificate");
+        let issuer = rcgen::Issuer::from_params(&params, &key);
+        let sign = |name: &str| {
+            let params = rcgen::CertificateParams::new(vec![name.to_string()]).expect("parameters");
+            let key = rcgen::KeyPair::generate().expect("a key");
+            let certificate = params.signed_by(&key, &issuer).expect("a certificate").pem();
+            Certificate { certificate, key: key.serialize_pem() }
+        };
+        Certificates { authority: authority.pem(), control_plane: sign("control"), proxy: sign("p") }
+    }
+
+    /// Writes the files of the control plane.
+    fn write(&self, folder: &Path) {
+        let files = [
+            ("authority.pem", &self.authority),
+            ("key.pem", &self.control_plane.key),
+            ("certificate.pem", &self.control_plane.certificate),
+        ];
+        for (name, content) in files {
+            std::fs::write(folder.join(name), content).expect("a file");
+        }
+    }
+
+    /// A proxy with this id that uses the proxy's certificate.
+    fn script(&self, id: &str) -> Script {
+        let Certificate { certificate, key } = self.proxy.clone();
+        let tls = Some(ProxyTls {
+            authority: self.authority.clone(),
+            certificate,
+            key,
+            server_name: "control".into(),
+        });
+        Script { tls, ..Script::new(id, "east", true) }
+    }
+}
+
+/// A folder for the files of mutual TLS, and the options that name them.
+fn tls_folder() -> (PathBuf, String) {
+    let folder = std::env::temp_dir().join(format!("yewpier-control-{}", std::process::id()));
+    std::fs::create_dir_all(&folder).expect("a folder");
+    let path = |name: &str| folder.join(name).to_str().expect("a path").to_string();
+    let text = format!(
+        "certificate = {}\nkey = {}\nauthority = {}",
+        path("certificate.pem"),
+        path("key.pem"),
+        path("authority.pem")
+    );
+    (folder, text)
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_proxy_may_only_use_ids_of_its_certificate_and_changed_files_take_effect() {
+    let (folder, text) = tls_folder();
+    let first = Certificates::generate();
+    first.write(&folder);
+    let discovery = start_discovery(8, 4);
+    let server = RunningServer::start(&discovery, 4, &text).await;
+    let proxy = server.start_proxy(first.script("p"));
+    proxy.until("a complete view", |view| view.is_complete()).await;
+    // The certificate does not contain another id.
+    let status = Proxy::new(server.address, first.script("q")).run(None).await;
+    assert_eq!(status.code(), tonic::Code::PermissionDenied);
+    // A certificate of another authority is not accepted, and neither is a connection without one.
+    let second = Certificates::generate();
+    let status = Proxy::new(server.address, second.script("p")).run(None).await;
+    assert_eq!(status.code(), tonic::Code::Unavailable);
+    let status = Proxy::new(server.address, Script::new("p", "east", true)).run(None).await;
+    assert_ne!(status.code(), tonic::Code::Ok);
+    // Changed files take effect without a restart; a file that cannot be read changes nothing.
+    std::fs::write(folder.join("key.pem"), "no key").expect("a file");
+    let third = Certificates::generate();
+    third.write(&folder);
+    let later = Proxy::new(server.address, third.script("p"));
+    let written_at = Instant::now();
+    while later.channel().await.is_err() {
+        assert!(written_at.elapsed() < Duration::from_secs(20), "the files were not read again");
+        tokio::time::sleep(Duration::from_millis(100)).await;
+    }
+    drain(&discovery, 1, 4);
+    proxy.until("the drain, on the earlier connection", |view| !view.uses(address(1))).await;
+    server.stop().await;
+    std::fs::remove_dir_all(&folder).expect("the folder");
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn the_error_says_why_the_control_plane_does_not_start() {
+    let discovery = start_discovery(1, 1);
+    let run = |text: &str| {
+        let config = Config { discovery: discovery.at, ..config(1, 1, Vec::new()) };
+        let (ready, _address) = oneshot::channel();
+        let (stop, stop_requested) = oneshot::channel();
+        let options = options(text);
+        async move {
+            let _stop = stop;
+            let result: Result<(), ServeError> =
+                control_plane::run(config, None, options, ready, stop_requested).await;
+            result.expect_err("it does not start").to_string()
+        }
+    };
+    assert_eq!(run("").await, "[control] listen: it is not set, so the control service is off");
+    let files = "certificate = /nowhere/c\nkey = /nowhere/k\nauthority = /nowhere/a";
+    let error = run(&format!("listen = 127.0.0.1:0\n{files}")).await;
+    assert!(error.starts_with("/nowhere/"), "{error}");
+    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+    let taken_address = taken.local_addr().expect("an address");
+    let error = run(&format!("listen = {taken_address}")).await;
+    assert!(error.starts_with(&format!("listen on {taken_address}")), "{error}");
+}
