--- a/crates/cli/tests/loopback/rig/router_process.rs
+++ b/crates/cli/tests/loopback/rig/router_process.rs
@@ -36,11 +36,12 @@
         RouterProcess { child, log, address: String::new() }
     }
 
-    /// Waits for the first log line, which says where the router listens.
+    /// Waits for the first log line, which states the address that the router listens on.
     pub fn wait_until_listening(&mut self) {
         let line = self.read_log_line();
-        assert!(line.contains("listens on"), "{line:?}");
-        self.address = line.trim().rsplit(' ').next().expect("an address").to_string();
+        assert!(line.contains("query router started"), "{line:?}");
+        let (_, address) = line.trim().rsplit_once(" address=").expect("an address");
+        self.address = address.to_string();
     }
 
     /// The next line of the log.
--- a/crates/cli/tests/loopback/serving.rs
+++ b/crates/cli/tests/loopback/serving.rs
@@ -74,7 +74,7 @@
     // A configuration that cannot be read any more changes nothing.
     router.signal(Signal::HUP);
     let line = router.read_log_line();
-    assert!(line.contains("the configuration stays as it was"), "{line}");
+    assert!(line.contains("configuration not reloaded"), "{line}");
 
     // Eight shard requests make two batches or more. The first head comes in pieces; the second request
     // follows at once, with its body in chunks.
--- a/crates/cli/tests/loopback/shutdown.rs
+++ b/crates/cli/tests/loopback/shutdown.rs
@@ -75,7 +75,7 @@
     assert!(client.read_to_end().is_empty());
     drop(client);
     let log = router.wait_for_exit();
-    assert_eq!(log.matches("told to end").count(), 1, "{log}");
+    assert_eq!(log.matches("graceful shutdown started").count(), 1, "{log}");
 }
 
 #[test]
@@ -106,6 +106,6 @@
     let (request, watch) = second.accept_request();
     assert!(request.contains("watch=1&after=0"), "{request}");
     let log = router.wait_for_exit();
-    assert!(log.contains("discovery moves from") && log.contains("told to end"), "{log}");
+    assert!(log.contains("discovery address changed") && log.contains("graceful shutdown started"), "{log}");
     drop(watch);
 }
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -82,11 +82,12 @@
                         return AcceptOutcome::Accepted;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return AcceptOutcome::NoneWaiting,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                Err(e) => {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return AcceptOutcome::NoneWaiting,
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(error) => {
                     if self.retry_at == 0 {
-                        tracing::warn!(error = %e, "accepting fails, clients wait");
+                        tracing::warn!(%error, "accepting clients failed; retrying");
                     }
                     self.retry_at = clock.now() + ACCEPT_PAUSE;
                     return AcceptOutcome::Failed;
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -95,7 +95,7 @@
     let clock = Clock::new();
     let router = Router::new(&config, clock.now());
     let address = listener.local_address()?;
-    tracing::info!("{} listens on {address}", config.name);
+    tracing::info!(name = %config.name, %address, "query router started");
     let mut server = Server {
         handle,
         config,
@@ -237,13 +237,16 @@
     fn reload_config(&mut self) {
         match Config::read(&self.config_path) {
             Ok(newer) => {
-                let unapplied = self.config.fields_needing_restart(&newer);
-                if !unapplied.is_empty() {
-                    tracing::warn!("heeded at the next start only: {}", unapplied.join(", "));
+                let fields = self.config.fields_needing_restart(&newer);
+                if !fields.is_empty() {
+                    tracing::warn!(
+                        fields = fields.join(", "),
+                        "changed fields take effect at the next start"
+                    );
                 }
                 self.report_event(Event::DiscoveryMoved(newer.discovery));
             }
-            Err(error) => tracing::warn!("the configuration stays as it was: {error}"),
+            Err(error) => tracing::warn!(%error, "configuration not reloaded"),
         }
     }
 
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -124,7 +124,7 @@
         if address == self.address {
             return;
         }
-        tracing::info!("discovery moves from {} to {address}", self.address);
+        tracing::info!(from = %self.address, to = %address, "discovery address changed");
         self.address = address;
         self.revision = 0;
         let polls: Vec<ConnectionId> = context.connections.polls().collect();
@@ -181,7 +181,7 @@
             let newest = request.revision;
             if revision < newest {
                 context.counters.endpoint_lists_stale += 1;
-                tracing::warn!("revision {revision} came behind {newest} and is passed over");
+                tracing::warn!(revision, newest, "stale endpoint update skipped");
                 continue;
             }
             request.revision = revision;
@@ -218,7 +218,7 @@
     /// A response cannot be used.
     pub fn invalid(&mut self, context: &mut Context, id: ConnectionId, error: &DiscoveryError) -> RequestEnd {
         context.counters.endpoint_lists_invalid += 1;
-        tracing::warn!(%error, "what discovery said could not be used");
+        tracing::warn!(%error, "discovery response rejected");
         self.failed(context, id)
     }
 
@@ -228,7 +228,7 @@
         if self.watch != Some(id) || !context.connections.discovery(id).answered {
             return self.failed(context, id);
         }
-        tracing::info!("the watch fell silent and is begun anew");
+        tracing::info!("silent endpoint watch restarted");
         context.counters.endpoint_watches_silent += 1;
         self.start_watch(context);
         RequestEnd::WatchRestarted
@@ -269,7 +269,7 @@
 
     fn store_entry(&self, context: &mut Context, member: &Json) -> Option<Endpoint> {
         let Some(entry) = EndpointEntry::parse(member) else {
-            tracing::warn!(%member, "a member of the list could not be used");
+            tracing::warn!(entry = %member, "endpoint entry rejected");
             return None;
         };
         let zone = self.zones.iter().position(|name| name == entry.zone).unwrap_or(self.zones.len());
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -237,12 +237,12 @@
         }
     }
 
-    /// The process was told to end.
+    /// Starts the graceful shutdown, unless it has been started before.
     fn begin_shutdown(&mut self) {
         let State { context, queries, clients, .. } = &mut self.state;
         let longest_deadline = clients.longest_deadline();
         if context.shutdown.begin(&mut context.timers, context.now, longest_deadline) {
-            tracing::info!(open = queries.open_count(), "told to end");
+            tracing::info!(open_requests = queries.open_count(), "graceful shutdown started");
         }
     }
 
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -134,7 +134,7 @@
         }
         Some(attempt) => {
             connection.close_cause = CloseCause::MalformedResponse(attempt);
-            note_malformed_frame(context, id, "its frame could not be used");
+            note_malformed_frame(context, id, "the node sent a frame that could not be parsed");
         }
     }
     context.effects.push(Effect::Abort(id));
@@ -146,6 +146,7 @@
     let node = context.connections.node(id).node;
     let endpoint = &mut context.endpoints[node];
     if !std::mem::replace(&mut endpoint.malformed_frame_logged, true) {
-        tracing::warn!("the data node at {:?} is not understood: {reason}", endpoint.address);
+        let address = endpoint.address.map(tracing::field::display);
+        tracing::warn!(address, reason, "malformed frame on a node connection");
     }
 }
