--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -1,14 +1,14 @@
-//! Carrying out what the router asks of the event loop, and reporting back what came of it.
+//! Carries out the effects that the router asks for, and reports the events that follow from them.
 
 use super::socket::{ConnectState, Socket, Unread, WriteOutcome, start_connecting};
 use super::{ExitState, Server, print_to_stderr};
-use crate::io::{Bytes, ConnectionId, Effect, Event};
+use crate::io::{Bytes, ConnectionId, Effect, Event, ExpectedInput};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// An event that follows from an effect. The router is told of it after the other effects of the same step.
+/// An event that follows from an effect. It is reported to the router after the other effects of the same step.
 #[derive(Debug)]
 pub(super) enum PendingEvent {
     /// The router asked to see once more what was received.
@@ -35,13 +35,13 @@
 }
 
 impl Server {
-    /// Tells the router of an event and carries out what it asks.
+    /// Reports an event to the router and carries out the effects that it asks for.
     pub(super) fn report_event(&mut self, event: Event) {
         self.router.step(self.clock.now(), event);
         self.carry_out_effects();
     }
 
-    /// Carries out what the router asked, and reports what came of that, until nothing is left.
+    /// Carries out the effects that the router asks for and reports the events that follow, until neither is left.
     pub(super) fn carry_out_effects(&mut self) {
         loop {
             for effect in self.router.take_effects() {
@@ -55,18 +55,18 @@
                         self.read_in_next_iteration(connection);
                     }
                     if let Some(Some(socket)) = self.sockets.get(connection.0) {
-                        self.router.step(now, Event::Received(connection, socket.input()));
+                        self.router.step(now, Event::Received { connection, bytes: socket.input() });
                     }
                 }
                 Some(PendingEvent::Flushed(connection)) => self.router.step(now, Event::Flushed(connection)),
                 Some(PendingEvent::Ended { connection, written_bytes }) => {
-                    self.router.step(now, Event::Ended(connection, written_bytes));
+                    self.router.step(now, Event::Ended { connection, written_bytes });
                 }
             }
         }
     }
 
-    /// Carries out one effect. What follows from it is queued and reported later.
+    /// Carries out one effect. Events that follow from it are queued.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Accept(connection) => {
@@ -74,8 +74,8 @@
                     self.register(connection, stream, ConnectState::Connected);
                 }
             }
-            Effect::Connect(connection, address) => self.connect(connection, address),
-            Effect::Consume(connection, count) => {
+            Effect::Connect { connection, address } => self.connect(connection, address),
+            Effect::Consume { connection, count } => {
                 if let Some(socket) = self.socket_mut(connection) {
                     socket.consume_input(count);
                 }
@@ -83,9 +83,9 @@
             Effect::Redeliver(connection) => {
                 self.pending_events.push_back(PendingEvent::ReadAgain(connection))
             }
-            Effect::Write(connection, pieces) => self.write(connection, pieces),
-            Effect::WriteIfOpen(connection, pieces, answer_due) => {
-                self.write_unless_ended(connection, pieces, answer_due);
+            Effect::Write { connection, buffers } => self.write(connection, buffers),
+            Effect::WriteIfOpen { connection, buffers, expected } => {
+                self.write_if_open(connection, buffers, expected);
             }
             Effect::CloseWrite(connection) => {
                 if let Some(socket) = self.socket(connection) {
@@ -94,7 +94,7 @@
             }
             Effect::Close(connection) => {
                 self.remove_socket(connection);
-                // The id may be reused, so what was to be reported of this connection is void.
+                // The id may be reused, so events of this connection must not be reported any more.
                 self.pending_events.retain(|event| event.connection() != connection);
             }
             Effect::CloseIfIdle(connection) => {
@@ -117,19 +117,19 @@
         }
     }
 
-    fn write(&mut self, connection: ConnectionId, pieces: Vec<Bytes>) {
+    fn write(&mut self, connection: ConnectionId, buffers: Vec<Bytes>) {
         if let Some(socket) = self.socket_mut(connection) {
-            socket.queue_output(pieces);
+            socket.queue_output(buffers);
             self.write_queued(connection);
         }
     }
 
-    /// Writes, unless the peer has closed or has sent something though no answer was due: then it closes.
-    fn write_unless_ended(&mut self, connection: ConnectionId, pieces: Vec<Bytes>, answer_due: bool) {
+    /// Writes, unless the peer has closed or has sent something unexpected: then it closes the connection.
+    fn write_if_open(&mut self, connection: ConnectionId, buffers: Vec<Bytes>, expected: ExpectedInput) {
         match self.unread(connection) {
             Some(Unread::End) => self.close_and_report(connection),
-            Some(Unread::Bytes) if !answer_due => self.close_and_report(connection),
-            _ => self.write(connection, pieces),
+            Some(Unread::Bytes) if expected == ExpectedInput::Nothing => self.close_and_report(connection),
+            _ => self.write(connection, buffers),
         }
     }
 
@@ -154,7 +154,7 @@
         self.ready.push((connection, Readiness { readable: true, writable: false, error: false }));
     }
 
-    /// Closes a connection and has the router told of it, once.
+    /// Closes a connection and queues the report of its end, unless it was closed before.
     pub(super) fn close_and_report(&mut self, connection: ConnectionId) {
         if let Some(socket) = self.remove_socket(connection) {
             let written_bytes = socket.written_bytes();
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Has the router told that a connection could not be opened.
+    /// Queues the report that a connection could not be opened.
     fn report_unopened(&mut self, connection: ConnectionId) {
         self.pending_events.push_back(PendingEvent::Ended { connection, written_bytes: 0 });
     }
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -189,7 +189,7 @@
             let Some(Some(socket)) = self.sockets.get_mut(connection.0) else { return };
             match socket.read(&mut self.read_buffer) {
                 ReadOutcome::Received => {
-                    self.router.step(self.clock.now(), Event::Received(connection, socket.input()));
+                    self.router.step(self.clock.now(), Event::Received { connection, bytes: socket.input() });
                     self.carry_out_effects();
                 }
                 ReadOutcome::Interrupted => {}
--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A connection. It is a small index: the state machine hands it out and may use it again once the connection was
-/// closed.
+/// The id of a connection: a small index, which the state machine assigns and may reuse once the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub usize);
-/// Bytes to be written, shared where several connections get the same.
+
+/// Bytes to be written. They are shared where several connections get the same.
 pub type Bytes = Rc<[u8]>;
 
 /// What the event loop reports.
@@ -19,52 +19,93 @@
     ClientConnected,
     /// A connection that was asked for is established.
     Established(ConnectionId),
-    /// All bytes that were received on a connection and are not consumed yet.
-    Received(ConnectionId, &'a [u8]),
+    /// Bytes were received on a connection.
+    Received {
+        /// The connection.
+        connection: ConnectionId,
+        /// All bytes that were received on it and are not consumed yet.
+        bytes: &'a [u8],
+    },
     /// Everything that was to be written has been.
     Flushed(ConnectionId),
     /// The peer closed in order; [`Event::Ended`] follows.
     PeerClosed(ConnectionId),
-    /// The peer closed, the connection broke, or it was never established; so many bytes had been written by then.
-    Ended(ConnectionId, u64),
+    /// The peer closed, the connection broke, or it was never established.
+    Ended {
+        /// The id that the connection had.
+        connection: ConnectionId,
+        /// How many bytes were written on it in all.
+        written_bytes: u64,
+    },
     /// The time of [`Effect::WakeAt`] has come.
     TimerExpired,
-    /// The configuration was replaced: discovery has this address now.
+    /// The configuration was read again and states this address of discovery.
     DiscoveryMoved(SocketAddr),
-    /// The process is to end.
+    /// A signal asks for a graceful shutdown.
     Terminate,
-    /// The counters are to be printed.
+    /// A signal asks for the counters.
     ReportCounters,
 }
 
+/// What may come in on a connection before anything more is written on it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ExpectedInput {
+    /// A response, so unread bytes mean nothing.
+    Response,
+    /// Nothing: unread bytes announce that the peer closes the connection.
+    Nothing,
+}
+
 /// What the event loop is asked to do.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// The client that connected first has this id from now on.
+    /// Give this id to the client that connected first among those without one.
     Accept(ConnectionId),
-    /// Connect to this address.
-    Connect(ConnectionId, SocketAddr),
-    /// Discard so many of the received bytes.
-    Consume(ConnectionId, usize),
+    /// Open a connection.
+    Connect {
+        /// The id of the new connection.
+        connection: ConnectionId,
+        /// Where it leads.
+        address: SocketAddr,
+    },
+    /// Discard received bytes.
+    Consume {
+        /// The connection.
+        connection: ConnectionId,
+        /// How many bytes to discard, from the first one on.
+        count: usize,
+    },
     /// Report once more what was received and not consumed.
     Redeliver(ConnectionId),
-    /// Write these buffers.
-    Write(ConnectionId, Vec<Bytes>),
-    /// Write these buffers, unless the peer is known to have closed, or to have sent something though no response was
-    /// due (the last value): then close, and [`Event::Ended`] follows.
-    WriteIfOpen(ConnectionId, Vec<Bytes>, bool),
-    /// Close unless something has come in that is not read yet; [`Event::Ended`] follows the close.
+    /// Write.
+    Write {
+        /// The connection.
+        connection: ConnectionId,
+        /// What to write, in order.
+        buffers: Vec<Bytes>,
+    },
+    /// Write, unless the peer is known to have closed or to have sent something unexpected: then close, and
+    /// [`Event::Ended`] follows.
+    WriteIfOpen {
+        /// The connection.
+        connection: ConnectionId,
+        /// What to write, in order.
+        buffers: Vec<Bytes>,
+        /// What the peer may have sent.
+        expected: ExpectedInput,
+    },
+    /// Close, unless something has come in that is not read yet; [`Event::Ended`] follows the close.
     CloseIfIdle(ConnectionId),
-    /// Write no more; what comes in is still read.
+    /// Close the writing side; what comes in is still read.
     CloseWrite(ConnectionId),
-    /// Close and forget.
+    /// Close without any further event about the connection.
     Close(ConnectionId),
-    /// Close; [`Event::Ended`] then says how much had been written.
+    /// Close; [`Event::Ended`] follows and states how much was written.
     Abort(ConnectionId),
-    /// Report [`Event::TimerExpired`] at this time, in place of the time before.
+    /// Report [`Event::TimerExpired`] at this time; it replaces the time of an earlier request.
     WakeAt(Option<Micros>),
-    /// Print these lines.
+    /// Print these lines to standard error.
     PrintCounters(String),
-    /// End the process.
+    /// End the process, unless another client has connected meanwhile.
     Exit,
 }
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -171,7 +171,7 @@
         }
         if http::expects_continue(bytes) {
             let interim = b"HTTP/1.1 100 Continue\r\n\r\n"[..].into();
-            context.effects.push(Effect::Write(id, vec![interim]));
+            context.effects.push(Effect::Write { connection: id, buffers: vec![interim] });
         }
     }
 
@@ -341,6 +341,6 @@
     fn consume(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
         let left = context.connections.client(id).unconsumed.saturating_sub(count);
         self.set_unconsumed(context, id, left);
-        context.effects.push(Effect::Consume(id, count));
+        context.effects.push(Effect::Consume { connection: id, count });
     }
 }
--- a/crates/query-router/src/router/clients/replies.rs
+++ b/crates/query-router/src/router/clients/replies.rs
@@ -52,7 +52,10 @@
             retry_after_seconds,
             closes_connection: client.close_after_answer,
         };
-        context.effects.push(Effect::Write(id, vec![head.encode().into_bytes().into(), body.into()]));
+        context.effects.push(Effect::Write {
+            connection: id,
+            buffers: vec![head.encode().into_bytes().into(), body.into()],
+        });
         context.set_connection_timer(id, Some(context.now + self.longest_deadline));
     }
 
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -103,7 +103,7 @@
             self.unreported_failures += 1;
             return None;
         };
-        context.effects.push(Effect::Connect(id, self.address));
+        context.effects.push(Effect::Connect { connection: id, address: self.address });
         context.set_connection_timer(id, Some(context.now + SILENCE_TIMEOUT));
         Some(id)
     }
@@ -144,7 +144,7 @@
         };
         let head =
             format!("GET /api/targets{query} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
-        context.effects.push(Effect::Write(id, vec![head.into_bytes().into()]));
+        context.effects.push(Effect::Write { connection: id, buffers: vec![head.into_bytes().into()] });
     }
 
     /// Reads on in a response: how many bytes were consumed and whether the body is complete.
@@ -195,7 +195,7 @@
     pub fn finish_reading(
         &self, context: &mut Context, id: ConnectionId, consumed: usize, progress: BodyProgress,
     ) {
-        context.effects.push(Effect::Consume(id, consumed));
+        context.effects.push(Effect::Consume { connection: id, count: consumed });
         let now = context.now;
         let no_progress_since = context.connections.discovery(id).note_progress(now, progress);
         context.set_connection_timer(id, Some(no_progress_since + SILENCE_TIMEOUT));
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -81,10 +81,10 @@
         match event {
             Event::ClientConnected => self.state.clients.connected(&mut self.state.context),
             Event::Established(id) => self.established(id),
-            Event::Received(id, bytes) => self.received(id, bytes),
+            Event::Received { connection: id, bytes } => self.received(id, bytes),
             Event::Flushed(id) => self.flushed(id),
             Event::PeerClosed(id) => self.closed_by_peer(id),
-            Event::Ended(id, bytes_written) => self.ended(id, bytes_written),
+            Event::Ended { connection: id, written_bytes } => self.ended(id, written_bytes),
             Event::TimerExpired => self.expire_timers(),
             Event::DiscoveryMoved(address) => self.state.discovery.move_to(&mut self.state.context, address),
             Event::Terminate => self.begin_shutdown(),
@@ -176,12 +176,12 @@
         }
     }
 
-    fn ended(&mut self, id: ConnectionId, bytes_written: u64) {
+    fn ended(&mut self, id: ConnectionId, written_bytes: u64) {
         let State { context, queries, discovery, .. } = &mut self.state;
         match context.connections.kind(id) {
             Some(ConnectionKind::Client) => self.client_ended(id),
             Some(ConnectionKind::Node) => {
-                let reports = node_connections::ended(context, queries, id, bytes_written);
+                let reports = node_connections::ended(context, queries, id, written_bytes);
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
@@ -292,8 +292,8 @@
     /// Tells the balancer what happened on a node connection.
     fn report(&mut self, report: NodeReport) {
         match report {
-            NodeReport::Attempt(finished, load) => self.report_attempt(&finished, &load),
-            NodeReport::HealthCheck(finished, load) => {
+            NodeReport::Attempt { finished, load } => self.report_attempt(&finished, &load),
+            NodeReport::HealthCheck { finished, load } => {
                 let end = HealthCheckEnd {
                     node: finished.node,
                     outcome: finished.outcome,
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -12,9 +12,19 @@
 #[derive(Debug)]
 pub enum NodeReport<'a> {
     /// An attempt has ended.
-    Attempt(FinishedAttempt, Vec<LoadMetric<'a>>),
+    Attempt {
+        /// The attempt and its outcome.
+        finished: FinishedAttempt,
+        /// What the node reports of its load with the response.
+        load: Vec<LoadMetric<'a>>,
+    },
     /// A health check has ended.
-    HealthCheck(FinishedHealthCheck, Vec<LoadMetric<'a>>),
+    HealthCheck {
+        /// The health check and its outcome.
+        finished: FinishedHealthCheck,
+        /// What the node reports of its load with the answer.
+        load: Vec<LoadMetric<'a>>,
+    },
 }
 
 /// A health check that has ended.
@@ -35,7 +45,7 @@
     let id = context.open(Connection::Node(Box::new(connection)))?;
     context.counters.node_connections_opened += 1;
     context.endpoints[node].connections.push(id);
-    context.effects.push(Effect::Connect(id, address));
+    context.effects.push(Effect::Connect { connection: id, address });
     set_timer(context, id);
     Some(id)
 }
@@ -94,7 +104,7 @@
     let queued = queued.into_iter().map(|attempt| (attempt, not_written));
     for (attempt, outcome) in sent.chain(queued) {
         let finished = queries.finish_attempt(context, attempt, outcome);
-        reports.extend(finished.map(|finished| NodeReport::Attempt(finished, Vec::new())));
+        reports.extend(finished.map(|finished| NodeReport::Attempt { finished, load: Vec::new() }));
     }
     context.close_node(id);
     reports
@@ -118,7 +128,7 @@
     let deadline = connection.health_check_deadlines.pop_front()?;
     context.timers.remove(deadline, Timer::HealthCheckTimeout(id));
     let latency = context.now - (deadline - context.limits.connect_timeout);
-    Some(NodeReport::HealthCheck(FinishedHealthCheck { node, outcome, latency }, load))
+    Some(NodeReport::HealthCheck { finished: FinishedHealthCheck { node, outcome, latency }, load })
 }
 
 /// Closes a connection on which something came in that cannot be used, or did not come to its end. Guards against
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -64,7 +64,7 @@
     if consumed > 0 {
         connection.last_frame_at = now;
     }
-    context.effects.push(Effect::Consume(id, consumed));
+    context.effects.push(Effect::Consume { connection: id, count: consumed });
     close_or_keep_idle(context, id);
 }
 
@@ -102,7 +102,7 @@
     }
     let load = std::str::from_utf8(load).ok().and_then(parse_load);
     match queries.finish_attempt(context, sent.attempt, outcome) {
-        Some(finished) => Received::Report(NodeReport::Attempt(finished, load.unwrap_or_default())),
+        Some(finished) => Received::Report(NodeReport::Attempt { finished, load: load.unwrap_or_default() }),
         None => Received::Handled,
     }
 }
--- a/crates/query-router/src/router/node_connections/write.rs
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -1,7 +1,7 @@
 //! What is written on node connections.
 
 use super::lifecycle::set_timer;
-use crate::io::{Bytes, ConnectionId, Effect};
+use crate::io::{Bytes, ConnectionId, Effect, ExpectedInput};
 use crate::protocol::frames::{self, FrameKind};
 use crate::router::connection::node::{HealthCheckKind, InFlight, NodeConnection, OutgoingFrame};
 use crate::router::context::Context;
@@ -21,12 +21,17 @@
         return;
     }
     // Guards against a batch that is sent behind a node's last frame, or behind half of one.
-    let response_due = connection.queued_attempts().next().is_none() || connection.awaits_response();
+    let carries_attempts = connection.queued_attempts().next().is_some();
+    let expected = if carries_attempts && !connection.awaits_response() {
+        ExpectedInput::Nothing
+    } else {
+        ExpectedInput::Response
+    };
     let mut buffers: Vec<Bytes> = Vec::new();
     while let Some(frame) = context.connections.node(id).queue.pop_front() {
         encode(context, queries, id, frame, &mut buffers);
     }
-    context.effects.push(Effect::WriteIfOpen(id, buffers, response_due));
+    context.effects.push(Effect::WriteIfOpen { connection: id, buffers, expected });
     set_timer(context, id);
 }
 
--- a/crates/query-router/src/router/tests/clients.rs
+++ b/crates/query-router/src/router/tests/clients.rs
@@ -16,10 +16,10 @@
         ("GET /-/counters?all HTTP/1.1\r\n\r\n".to_string(), "200"),
     ] {
         let client = rig.client();
-        rig.step(Event::Received(client, request.as_bytes()));
+        rig.receive(client, request.as_bytes());
         rig.decide();
         assert!(rig.written(client).starts_with(&format!("HTTP/1.1 {status}")), "{request}");
-        rig.step(Event::Ended(client, 0));
+        rig.end(client, 0);
         rig.peers.written.clear();
     }
     assert_eq!(rig.router.counters().decisions, decisions);
@@ -33,7 +33,7 @@
     let request = post("look", "t1", body).replacen("X-Qos", "Expect: 100-continue\r\nX-Qos", 1);
     let head = request.len() - body.len();
     for end in [head - 1, head, head + 1, request.len()] {
-        rig.step(Event::Received(client, &request.as_bytes()[..end]));
+        rig.receive(client, &request.as_bytes()[..end]);
     }
     assert_eq!(rig.written(client), "HTTP/1.1 100 Continue\r\n\r\n");
     assert_eq!(rig.router.counters().queries_accepted, 1);
@@ -43,12 +43,12 @@
 fn an_endless_request_and_an_unread_answer_time_out() {
     let mut rig = Rig::new();
     let client = rig.client();
-    rig.step(Event::Received(client, b"POST /api HT"));
+    rig.receive(client, b"POST /api HT");
     rig.pass(4_000_000);
     assert!(rig.written(client).starts_with("HTTP/1.1 408") && rig.peers.closed.contains(&client));
     rig.peers.writes_stall = true;
     let client = rig.client();
-    rig.step(Event::Received(client, b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    rig.receive(client, b"GET /-/ready HTTP/1.1\r\n\r\n");
     rig.pass(1_900_000);
     assert_eq!(
         (rig.written(client).as_str(), rig.router.state.context.connections.clients().count()),
--- a/crates/query-router/src/router/tests/connection_limit.rs
+++ b/crates/query-router/src/router/tests/connection_limit.rs
@@ -10,7 +10,7 @@
     rig.step(Event::ClientConnected);
     assert_eq!((rig.peers.accepted.len(), rig.router.counters().client_connections_delayed), (5, 1));
     // One that has been answered and has nothing unread is evicted.
-    rig.step(Event::Received(clients[3], b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    rig.receive(clients[3], b"GET /-/ready HTTP/1.1\r\n\r\n");
     rig.decide();
     assert_eq!((&rig.peers.closed[..], rig.peers.accepted.len()), (&[clients[3]][..], 6));
     // One that never sends a request does not stay for ever.
@@ -24,9 +24,9 @@
     let mut rig = Rig::new();
     let clients: Vec<ConnectionId> = (0..5).map(|_| rig.client()).collect();
     rig.peers.unread = vec![clients[1]];
-    rig.step(Event::Received(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    rig.receive(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n");
     rig.step(Event::ClientConnected);
-    rig.step(Event::Received(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    rig.receive(clients[1], b"GET /-/ready HTTP/1.1\r\n\r\n");
     assert!(rig.peers.closed.is_empty() && rig.written(clients[1]).matches("200 OK").count() == 2);
 }
 
@@ -38,7 +38,7 @@
     let asked: Vec<ConnectionId> = (0..6)
         .map(|_| {
             let client = rig.client();
-            rig.step(Event::Received(client, b"GET /-/ready HTTP/1.1\r\n\r\n"));
+            rig.receive(client, b"GET /-/ready HTTP/1.1\r\n\r\n");
             rig.now += 1;
             client
         })
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -22,9 +22,9 @@
         let mut left = Vec::new();
         for piece in [&text.as_bytes()[..at], &text.as_bytes()[at..]] {
             left.extend_from_slice(piece);
-            rig.router.step(START, Event::Received(watch, &left));
+            rig.router.step(START, Event::Received { connection: watch, bytes: &left });
             for effect in rig.router.take_effects() {
-                if let Effect::Consume(_, count) = effect {
+                if let Effect::Consume { count, .. } = effect {
                     left.drain(..count);
                 }
             }
@@ -56,7 +56,7 @@
     for second in 0..4 {
         assert_eq!(rig.peers.outgoing[0].id, watch, "after {second} s");
         head.push(b'x');
-        rig.step(Event::Received(watch, &head));
+        rig.receive(watch, &head);
         rig.pass(1_000_000);
     }
     assert!(
@@ -80,14 +80,14 @@
     let first = rig.peers.outgoing[0].id;
     rig.poll();
     let list = rig.peers.outgoing[1].id;
-    rig.step(Event::Ended(first, 0));
+    rig.end(first, 0);
     rig.pass(50_000);
-    rig.step(Event::Ended(list, 0));
+    rig.end(list, 0);
     rig.pass(250_000);
     let second = rig.peers.outgoing[0].id;
     rig.step(Event::Established(second));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
-    rig.step(Event::Received(second, head.as_bytes()));
+    rig.receive(second, head.as_bytes());
     let requests = rig.router.counters().discovery_requests;
     rig.pass(3_000_000);
     assert_eq!(rig.router.counters().discovery_requests, requests);
@@ -99,7 +99,7 @@
     let mut rig = pushed_discovery();
     let mut waits = Vec::new();
     for _ in 0..8 {
-        rig.step(Event::Ended(rig.peers.outgoing[0].id, 0));
+        rig.end(rig.peers.outgoing[0].id, 0);
         let since = rig.now;
         while rig.peers.outgoing.is_empty() {
             rig.pass(1_000);
@@ -112,8 +112,8 @@
     // One that is well resets the delay.
     let watch = rig.peers.outgoing[0].id;
     rig.step(Event::Established(watch));
-    rig.step(Event::Received(watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
-    rig.step(Event::Ended(watch, 0));
+    rig.receive(watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+    rig.end(watch, 0);
     rig.pass(125_000);
     assert_eq!(rig.peers.outgoing.len(), 1);
 }
@@ -123,7 +123,7 @@
     let retry_at = |seed: &str| {
         let config = CONFIG.replace("\"ask\"", "\"push\"").replace("\"2a\"", seed);
         let mut rig = Rig::with_config(&config);
-        rig.step(Event::Ended(rig.peers.outgoing[0].id, 0));
+        rig.end(rig.peers.outgoing[0].id, 0);
         rig.decide();
         rig.router.wake_at
     };
@@ -142,11 +142,11 @@
         let mut rig = Rig::new();
         let request = rig.poll();
         rig.step(Event::Established(request));
-        rig.step(Event::Received(request, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes()));
+        rig.receive(request, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes());
         if closed {
             rig.step(Event::PeerClosed(request));
         }
-        rig.step(Event::Ended(request, 0));
+        rig.end(request, 0);
         let counters = rig.router.counters();
         assert_eq!(
             (counters.endpoint_lists_full, counters.discovery_failures),
@@ -172,9 +172,9 @@
     let mut left = Vec::new();
     for piece in bytes.chunks(piece) {
         left.extend_from_slice(piece);
-        rig.router.step(START, Event::Received(request, &left));
+        rig.router.step(START, Event::Received { connection: request, bytes: &left });
         for effect in rig.router.take_effects() {
-            if let Effect::Consume(_, count) = effect {
+            if let Effect::Consume { count, .. } = effect {
                 left.drain(..count);
             }
         }
@@ -264,7 +264,7 @@
         let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
         rig.step(Event::Established(request));
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        rig.step(Event::Received(request, text.as_bytes()));
+        rig.receive(request, text.as_bytes());
         let counters = rig.router.counters();
         assert_eq!(
             (counters.endpoint_lists_invalid, counters.discovery_failures),
@@ -286,7 +286,7 @@
     let request = rig.peers.outgoing[0].id;
     rig.step(Event::Established(request));
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{", usize::MAX);
-    rig.step(Event::Received(request, text.as_bytes()));
+    rig.receive(request, text.as_bytes());
     assert_eq!(rig.router.counters().endpoint_lists_invalid, 1);
 }
 
@@ -304,11 +304,11 @@
     let request = rig.peers.outgoing[0].id;
     rig.step(Event::Established(request));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    rig.step(Event::Received(request, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes()));
+    rig.receive(request, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes());
     for _ in 0..3 {
         rig.pass(1_500_000);
         if rig.router.state.context.connections.kind(request).is_some() {
-            rig.step(Event::Received(request, b"1\r\n\n\r\n"));
+            rig.receive(request, b"1\r\n\n\r\n");
         }
     }
     assert_eq!(rig.router.counters().discovery_failures, 1);
--- a/crates/query-router/src/router/tests/dispatch.rs
+++ b/crates/query-router/src/router/tests/dispatch.rs
@@ -10,7 +10,7 @@
         let client = rig.query(class, "t1");
         let (connection, port) = rig.establish_last();
         let written = rig.written(connection).len() as u64;
-        rig.step(Event::Ended(connection, written - unwritten));
+        rig.end(connection, written - unwritten);
         rig.decide();
         let other = rig.peers.outgoing.last().expect("a connection").port;
         assert_eq!(
@@ -72,7 +72,7 @@
         (1, 2),
         "discovery's alone"
     );
-    rig.step(Event::Ended(client, 0));
+    rig.end(client, 0);
     rig.pass(500_000);
     assert_eq!((rig.peers.outgoing.len(), rig.router.counters().attempts_not_sent), (1, 2));
     assert_eq!(rig.router.state.queries.shard_requests.len(), 0);
@@ -88,7 +88,7 @@
     assert!(rig.written(client).starts_with("HTTP/1.1 503"), "{}", rig.written(client));
     // The next query gets the ids of the one before, and nothing of it.
     rig.query("pay", "t2");
-    rig.step(Event::Ended(clients[0], 0));
+    rig.end(clients[0], 0);
     rig.decide();
     let (connection, _) = rig.establish_last();
     assert!(
@@ -106,7 +106,7 @@
     rig.peers.writes_stall = true;
     let (connection, _) = rig.establish_last();
     assert_eq!(rig.written(connection).len(), 12);
-    rig.step(Event::Ended(client, 0));
+    rig.end(client, 0);
     assert!(rig.peers.closed.contains(&connection));
     assert_eq!(rig.router.counters().attempts_not_sent, 2);
 }
@@ -166,7 +166,7 @@
     let clients: Vec<ConnectionId> = (0..4).map(|_| rig.client()).collect();
     let busy = rig.query("pay", "t1");
     assert_eq!(rig.peers.outgoing.len(), 1, "discovery's alone");
-    rig.step(Event::Ended(clients[0], 0));
+    rig.end(clients[0], 0);
     rig.decide();
     let (connection, _) = rig.establish_last();
     assert!(rig.written(connection).contains("t1.0") && rig.written(busy).is_empty());
@@ -185,7 +185,7 @@
     });
     let list = serde_json::json!({"revision": 42, "members": members.collect::<Vec<_>>()});
     rig.apply_list(&list, EndpointUpdate::Incremental);
-    rig.step(Event::Ended(clients[0], 0));
+    rig.end(clients[0], 0);
     rig.decide();
     let (_, port) = rig.establish_last();
     assert_eq!((port, rig.router.counters().attempts_not_sent), ([72, 71][node], 2));
@@ -201,7 +201,7 @@
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
     let mut query = |id: &str| {
         let client = rig.client();
-        rig.step(Event::Received(client, post("pay", id, body).as_bytes()));
+        rig.receive(client, post("pay", id, body).as_bytes());
         rig.pass(5_000);
         (client, rig.peers.outgoing.last().expect("a connection").id)
     };
--- a/crates/query-router/src/router/tests/endpoints.rs
+++ b/crates/query-router/src/router/tests/endpoints.rs
@@ -57,7 +57,7 @@
         rig.respond(connection, &format!("t{i}.1 OK 5 -"), "beta");
         rig.decide();
         assert!(rig.written(client).starts_with("HTTP/1.1 200"), "{i}: {}", rig.written(client));
-        rig.step(Event::Ended(client, 0));
+        rig.end(client, 0);
         rig.peers.written.clear();
     }
     let state = &rig.router.state;
--- a/crates/query-router/src/router/tests/event_sequences.rs
+++ b/crates/query-router/src/router/tests/event_sequences.rs
@@ -50,17 +50,18 @@
                 let end = RemoteEnd { established: true, ..RemoteEnd::default() };
                 assert!(self.ends.insert(id, end).is_none());
             }
-            Effect::Connect(id, address) => {
+            Effect::Connect { connection: id, address } => {
                 let end = RemoteEnd { port: Some(address.port()), ..RemoteEnd::default() };
                 assert!(self.ends.insert(id, end).is_none());
             }
-            Effect::Consume(id, count) => {
+            Effect::Consume { connection: id, count } => {
                 if let Some(end) = self.ends.get_mut(&id) {
                     end.unconsumed.drain(..count);
                 }
             }
             Effect::Redeliver(id) => follow_ups.push_back(FollowUp::Redeliver(id)),
-            Effect::Write(id, buffers) | Effect::WriteIfOpen(id, buffers, _) => {
+            Effect::Write { connection: id, buffers }
+            | Effect::WriteIfOpen { connection: id, buffers, .. } => {
                 let bytes: Vec<u8> = buffers.iter().flat_map(|buffer| buffer.to_vec()).collect();
                 let slow = self.rng.u8(0..8) == 0;
                 if let Some(end) = self.ends.get_mut(&id) {
@@ -149,7 +150,7 @@
     /// The system closes a socket and says how much it had taken.
     fn fail(&mut self, id: ConnectionId, follow_ups: &mut VecDeque<FollowUp>) {
         if let Some(end) = self.ends.remove(&id) {
-            follow_ups.push_back(FollowUp::Ended(id, end.taken as u64));
+            follow_ups.push_back(FollowUp::Ended { connection: id, written_bytes: end.taken as u64 });
         }
     }
 
@@ -214,7 +215,7 @@
             }
             end.unconsumed.extend(piece);
             let unconsumed = end.unconsumed.clone();
-            self.step(Event::Received(id, &unconsumed));
+            self.receive(id, &unconsumed);
             if cut < bytes.len() && self.peers.rng.bool() {
                 return;
             }
--- a/crates/query-router/src/router/tests/node_connections.rs
+++ b/crates/query-router/src/router/tests/node_connections.rs
@@ -16,9 +16,9 @@
             let mut rig = Rig::new();
             let client = rig.query("pay", "t1");
             let (connection, _) = rig.establish_last();
-            rig.step(Event::Received(connection, &bytes[..split]));
+            rig.receive(connection, &bytes[..split]);
             if !rig.peers.closed.contains(&connection) {
-                rig.step(Event::Received(connection, &bytes));
+                rig.receive(connection, &bytes);
             }
             let counters = rig.router.counters();
             let ends = (
@@ -43,7 +43,7 @@
     let (connection, port) = rig.establish_last();
     rig.respond(connection, "t1.0 OK 5 -", "alpha");
     // Only half of the node's other response comes.
-    rig.step(Event::Received(connection, b"\0\0\0\x20Yt1.1 OK 5"));
+    rig.receive(connection, b"\0\0\0\x20Yt1.1 OK 5");
     rig.pass(249_000);
     assert!(!rig.peers.closed.contains(&connection));
     rig.pass(2_000);
@@ -82,7 +82,7 @@
             "other" => frame(b'Y', "t8.1 OK 5 -\nbeta"),
             noise => noise.as_bytes().to_vec(),
         };
-        rig.step(Event::Received(connection, &[good, more].concat()));
+        rig.receive(connection, &[good, more].concat());
         rig.decide();
         assert!(rig.written(client).starts_with("HTTP/1.1 200"), "{behind}");
         assert!(rig.peers.closed.contains(&connection) && rig.router.counters().frames_malformed == 0);
@@ -97,7 +97,7 @@
     rig.respond(connection, "t1.0 OK 5 -", "alpha");
     rig.respond(connection, "t1.1 OK 5 -", "beta");
     rig.decide();
-    rig.step(Event::Ended(client, 0));
+    rig.end(client, 0);
     rig.pass(2_700_000);
     assert!(!rig.peers.closed.contains(&connection));
     rig.pass(100_000);
@@ -111,7 +111,7 @@
     rig.run_effects();
     let (connection, _) = rig.establish_last();
     assert_eq!(rig.peers.written[&connection], frames::head(b'G', 0));
-    rig.step(Event::Received(connection, &[0, 0, 0, 3, b'G', b'O', b'K']));
+    rig.receive(connection, &[0, 0, 0, 3, b'G', b'O', b'K']);
     rig.router.state.check_health(NodeId(0));
     rig.run_effects();
     assert!(rig.router.counters().health_checks_sent == 2 && !rig.peers.closed.contains(&connection));
--- a/crates/query-router/src/router/tests/queries.rs
+++ b/crates/query-router/src/router/tests/queries.rs
@@ -45,7 +45,7 @@
     let client = rig.client();
     rig.decide();
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
-    rig.step(Event::Received(client, post("look", "t1", body).as_bytes()));
+    rig.receive(client, post("look", "t1", body).as_bytes());
     assert_eq!(rig.router.wake_at, Some(START + 5_000));
 }
 
@@ -54,7 +54,7 @@
     let mut rig = Rig::new();
     let client = rig.query("look", "t1");
     let (connection, _) = rig.establish_last();
-    rig.step(Event::Ended(client, 0));
+    rig.end(client, 0);
     rig.decide();
     assert_eq!(rig.peers.closed, [client]);
     rig.respond(connection, "t1.0 OK 5 -", "alpha");
--- a/crates/query-router/src/router/tests/rig.rs
+++ b/crates/query-router/src/router/tests/rig.rs
@@ -34,8 +34,13 @@
 
 /// What the event loop reports after the effects at hand.
 pub enum FollowUp {
-    /// A connection has ended with so many bytes written.
-    Ended(ConnectionId, u64),
+    /// A connection has ended.
+    Ended {
+        /// The id that it had.
+        connection: ConnectionId,
+        /// How many bytes were written on it in all.
+        written_bytes: u64,
+    },
     /// Everything is written.
     Flushed(ConnectionId),
     /// What was received and not consumed is reported once more.
@@ -44,7 +49,7 @@
 
 impl FollowUp {
     fn connection(&self) -> ConnectionId {
-        let (FollowUp::Ended(id, _) | FollowUp::Flushed(id) | FollowUp::Redeliver(id)) = self;
+        let (FollowUp::Ended { connection: id, .. } | FollowUp::Flushed(id) | FollowUp::Redeliver(id)) = self;
         *id
     }
 }
@@ -83,6 +88,16 @@
         self.run_effects();
     }
 
+    /// Bytes come in on a connection: all that were not consumed yet.
+    pub fn receive(&mut self, connection: ConnectionId, bytes: &[u8]) {
+        self.step(Event::Received { connection, bytes });
+    }
+
+    /// A connection ends with so many bytes written.
+    pub fn end(&mut self, connection: ConnectionId, written_bytes: u64) {
+        self.step(Event::Ended { connection, written_bytes });
+    }
+
     /// Ends an event-loop iteration.
     pub fn decide(&mut self) {
         self.router.decide(self.now);
@@ -97,11 +112,13 @@
             }
             let Some(follow_up) = self.follow_ups.pop_front() else { return };
             match follow_up {
-                FollowUp::Ended(id, written) => self.router.step(self.now, Event::Ended(id, written)),
+                FollowUp::Ended { connection, written_bytes } => {
+                    self.router.step(self.now, Event::Ended { connection, written_bytes })
+                }
                 FollowUp::Flushed(id) => self.router.step(self.now, Event::Flushed(id)),
                 FollowUp::Redeliver(id) => {
                     if let Some(bytes) = self.peers.unconsumed(id) {
-                        self.router.step(self.now, Event::Received(id, &bytes));
+                        self.router.step(self.now, Event::Received { connection: id, bytes: &bytes });
                     }
                 }
             }
@@ -165,8 +182,11 @@
     fn carry_out(&mut self, _router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>) {
         match effect {
             Effect::Accept(id) => self.accepted.push(id),
-            Effect::Connect(id, address) => self.outgoing.push(Outgoing { id, port: address.port() }),
-            Effect::Write(id, buffers) | Effect::WriteIfOpen(id, buffers, _) => {
+            Effect::Connect { connection: id, address } => {
+                self.outgoing.push(Outgoing { id, port: address.port() })
+            }
+            Effect::Write { connection: id, buffers }
+            | Effect::WriteIfOpen { connection: id, buffers, .. } => {
                 let taken = if self.writes_stall { STALLED_WRITE_BYTES } else { usize::MAX };
                 let bytes = buffers.iter().flat_map(|buffer| buffer.iter().copied()).take(taken);
                 self.written.entry(id).or_default().extend(bytes);
@@ -179,16 +199,16 @@
                 self.outgoing.retain(|outgoing| outgoing.id != id);
             }
             Effect::Abort(id) => {
-                let written = self.written.get(&id).map_or(0, Vec::len) as u64;
-                follow_ups.push_back(FollowUp::Ended(id, written));
+                let written_bytes = self.written.get(&id).map_or(0, Vec::len) as u64;
+                follow_ups.push_back(FollowUp::Ended { connection: id, written_bytes });
             }
             Effect::CloseIfIdle(id) => {
                 if !self.unread.contains(&id) {
-                    follow_ups.push_back(FollowUp::Ended(id, 0));
+                    follow_ups.push_back(FollowUp::Ended { connection: id, written_bytes: 0 });
                 }
             }
             Effect::CloseWrite(id) => self.half_closed.push(id),
-            Effect::Consume(..)
+            Effect::Consume { .. }
             | Effect::Redeliver(_)
             | Effect::WakeAt(_)
             | Effect::PrintCounters(_)
@@ -229,7 +249,7 @@
     pub fn query(&mut self, class: &str, id: &str) -> ConnectionId {
         let client = self.client();
         let body = r#"{"segments":[{"segment":0,"boost":0.5},{"segment":1,"boost":0.5}],"text":"q"}"#;
-        self.step(Event::Received(client, post(class, id, body).as_bytes()));
+        self.receive(client, post(class, id, body).as_bytes());
         self.decide();
         client
     }
@@ -249,7 +269,7 @@
 
     /// A node responds to a shard request.
     pub fn respond(&mut self, node_connection: ConnectionId, line: &str, value: &str) {
-        self.step(Event::Received(node_connection, &frame(b'Y', &format!("{line}\n{value}"))));
+        self.receive(node_connection, &frame(b'Y', &format!("{line}\n{value}")));
     }
 
     /// Puts the waiting batches on connections, without a decision.
--- a/crates/query-router/src/router/tests/shutdown.rs
+++ b/crates/query-router/src/router/tests/shutdown.rs
@@ -9,16 +9,16 @@
     let busy = rig.query("look", "t1");
     rig.step(Event::Terminate);
     let late = rig.client();
-    rig.step(Event::Received(late, b"GET /-/ready HTTP/1.1\r\n\r\n"));
+    rig.receive(late, b"GET /-/ready HTTP/1.1\r\n\r\n");
     assert!(rig.written(late).starts_with("HTTP/1.1 503") && rig.written(late).contains("Connection: close"));
     assert_eq!(rig.peers.half_closed, [late]);
     rig.pass(ACCEPTING_FOR);
     assert_eq!((&rig.peers.half_closed[..], rig.exit), (&[late, idle][..], false));
-    rig.step(Event::Ended(late, 0));
-    rig.step(Event::Ended(idle, 0));
+    rig.end(late, 0);
+    rig.end(idle, 0);
     rig.pass(1_200_000);
     assert!(rig.written(busy).contains("Connection: close") && !rig.exit);
-    rig.step(Event::Ended(busy, 0));
+    rig.end(busy, 0);
     rig.decide();
     assert!(rig.exit);
 }
@@ -33,7 +33,7 @@
     // deadline, 2 s here.
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
     let request = post("look", "t1", body).replace("1500", "20000");
-    rig.step(Event::Received(client, request.as_bytes()));
+    rig.receive(client, request.as_bytes());
     rig.pass(2_250_000);
     assert!(rig.written(client).starts_with("HTTP/1.1 50"), "{}", rig.written(client));
 }
@@ -44,11 +44,11 @@
     let client = rig.client();
     rig.step(Event::Terminate);
     rig.pass(400_000);
-    rig.step(Event::Received(client, b"POST /api HTTP/1.1\r\n"));
+    rig.receive(client, b"POST /api HTTP/1.1\r\n");
     rig.pass(2_250_000);
     assert!(rig.written(client).starts_with("HTTP/1.1 4"), "{}", rig.written(client));
     let other = rig.client();
-    rig.step(Event::Received(other, b"POST /api HT"));
+    rig.receive(other, b"POST /api HT");
     rig.pass(1);
     assert!(rig.written(other).starts_with("HTTP/1.1 4"), "{}", rig.written(other));
     rig.pass(1_000_000);
@@ -61,13 +61,13 @@
     let mut rig = Rig::new();
     let client = rig.client();
     rig.peers.writes_stall = true;
-    rig.step(Event::Received(client, b"GET /-/healthy HTTP/1.1\r\n\r\n"));
+    rig.receive(client, b"GET /-/healthy HTTP/1.1\r\n\r\n");
     rig.step(Event::Terminate);
     rig.pass(500_000);
     rig.peers.writes_stall = false;
     rig.step(Event::Flushed(client));
     assert!(rig.peers.half_closed.is_empty(), "the request behind it is read first");
-    rig.step(Event::Received(client, b"GET /-/healthy HTTP/1.1\r\n\r\n"));
+    rig.receive(client, b"GET /-/healthy HTTP/1.1\r\n\r\n");
     rig.pass(1);
     assert!(rig.written(client).ends_with("Connection: close\r\n\r\nOK\n"), "{}", rig.written(client));
     assert_eq!(rig.peers.half_closed, [client]);
