--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -72,7 +72,7 @@
     pub id: Rc<str>,
     /// The attempt.
     pub attempt: AttemptId,
-    /// It is written in full once so many bytes of the connection are.
+    /// How many bytes are written on the connection once its frame is written in full.
     pub end_offset: u64,
 }
 
@@ -93,32 +93,32 @@
     /// Where the connection leads.
     pub address: SocketAddr,
     /// Whether it is established, and since when.
-    pub establishment: Establishment,
-    /// When it last became idle.
-    pub idle_from: Micros,
-    /// What has not begun to be written and can be cancelled.
-    pub queue: VecDeque<OutgoingFrame>,
+    establishment: Establishment,
+    /// Since when it counts as idle, if it is idle.
+    idle_from: Micros,
+    /// Frames of which no byte is written: they can still be removed.
+    queue: VecDeque<OutgoingFrame>,
     /// How many bytes were handed to the event loop.
-    pub bytes_handed_over: u64,
+    bytes_handed_over: u64,
     /// How many of them are known to be written.
-    pub bytes_flushed: u64,
+    bytes_flushed: u64,
     /// The attempts in flight, oldest first.
-    pub in_flight: Vec<InFlight>,
+    in_flight: Vec<InFlight>,
     /// The ids of the last shard requests abandoned here, to which a response may still come.
-    pub abandoned: VecDeque<Rc<str>>,
+    abandoned: VecDeque<Rc<str>>,
     /// The id of the last shard request that was answered here.
-    pub last_answered: Option<Rc<str>>,
-    /// Whether anything new may be sent. Not so once a response came that belongs to nothing here, or none where
-    /// one was due.
-    pub reusable: bool,
+    last_answered: Option<Rc<str>>,
+    /// Whether further batches may be sent. False once a response came that belongs to no shard request sent here, or
+    /// once an expected response did not come.
+    reusable: bool,
     /// When the last complete frame came in.
-    pub last_frame_at: Micros,
+    last_frame_at: Micros,
     /// The frame that is coming in.
-    pub partial_frame: Option<PartialFrame>,
+    partial_frame: Option<PartialFrame>,
     /// Why it ends.
-    pub close_cause: CloseCause,
-    /// By when the unanswered health checks must be answered, oldest first.
-    pub health_check_deadlines: VecDeque<Micros>,
+    close_cause: CloseCause,
+    /// The deadlines of the unanswered health checks, oldest first.
+    health_check_deadlines: VecDeque<Micros>,
 }
 
 impl NodeConnection {
@@ -143,12 +143,22 @@
         }
     }
 
-    /// Whether it is established.
+    /// Whether the connection is established, and since when.
+    pub fn establishment(&self) -> Establishment {
+        self.establishment
+    }
+
+    /// Notes that the connection is established.
+    pub fn set_established(&mut self, now: Micros) {
+        self.establishment = Establishment::Established { since: now };
+    }
+
+    /// Whether the connection is established.
     pub fn is_established(&self) -> bool {
         matches!(self.establishment, Establishment::Established { .. })
     }
 
-    /// Since when it has had nothing to do, if it is established and has nothing to do.
+    /// Since when it has been idle: established, with nothing queued and no response expected. `None` if it is not idle.
     pub fn idle_since(&self) -> Option<Micros> {
         let idle = self.is_established()
             && self.in_flight.is_empty()
@@ -157,17 +167,60 @@
         idle.then_some(self.idle_from)
     }
 
-    /// How many attempts are queued or in flight here.
+    /// Restarts the idle time, after an event on an idle connection.
+    pub fn restart_idle_time(&mut self, now: Micros) {
+        self.idle_from = now;
+    }
+
+    /// Whether further batches may be sent.
+    pub fn is_reusable(&self) -> bool {
+        self.reusable
+    }
+
+    /// Rules out that further batches are sent.
+    pub fn forbid_reuse(&mut self) {
+        self.reusable = false;
+    }
+
+    /// Why the connection ends.
+    pub fn close_cause(&self) -> CloseCause {
+        self.close_cause
+    }
+
+    /// Notes that this router closes the connection on account of bytes that cannot be used. Returns the attempt whose
+    /// response counts as malformed: the one `named` in the bytes, or else the oldest in flight, if there is one.
+    pub fn set_malformed(&mut self, named: Option<AttemptId>) -> Option<AttemptId> {
+        let malformed = named.or(self.in_flight.first().map(|sent| sent.attempt));
+        self.close_cause = malformed.map_or(CloseCause::Local, CloseCause::MalformedResponse);
+        malformed
+    }
+
+    /// The number of attempts that are queued or in flight.
     pub fn load(&self) -> usize {
         self.in_flight.len() + self.queued_attempts().count()
     }
 
-    /// Whether everything handed to the event loop is written.
+    /// Notes that the event loop has written everything that was handed to it.
+    pub fn set_flushed(&mut self) {
+        self.bytes_flushed = self.bytes_handed_over;
+    }
+
+    /// Whether everything handed to the event loop is known to be written.
     pub fn is_flushed(&self) -> bool {
         self.bytes_flushed >= self.bytes_handed_over
     }
 
-    /// The attempts that have not begun to be written.
+    /// Whether no frame is queued.
+    pub fn is_queue_empty(&self) -> bool {
+        self.queue.is_empty()
+    }
+
+    /// Removes and returns the first queued frame.
+    pub fn pop_queued(&mut self) -> Option<OutgoingFrame> {
+        self.queue.pop_front()
+    }
+
+    /// The attempts in queued frames.
     pub fn queued_attempts(&self) -> impl Iterator<Item = AttemptId> + '_ {
         let batches = self.queue.iter().filter_map(|frame| match frame {
             OutgoingFrame::Batch(attempts) => Some(attempts),
@@ -176,22 +229,54 @@
         batches.flatten().copied()
     }
 
-    /// Whether something is due from the node before it is sent anything more.
+    /// Whether the node may send something although nothing more is sent to it.
     pub fn awaits_response(&self) -> bool {
         !(self.in_flight.is_empty() && self.health_check_deadlines.is_empty() && self.abandoned.is_empty())
     }
 
-    /// Adds a batch to what is to be written.
+    /// Whether a response to the shard request with this id may come on the connection.
+    pub fn may_answer(&self, request_id: &str) -> bool {
+        self.abandoned.iter().chain(self.in_flight.iter().map(|sent| &sent.id)).any(|id| **id == *request_id)
+    }
+
+    /// Queues a batch.
     pub fn queue_batch(&mut self, attempts: Vec<AttemptId>) {
         self.queue.push_back(OutgoingFrame::Batch(attempts));
     }
 
-    /// The position in the queue of the first batch.
-    pub fn first_queued_batch(&self) -> Option<usize> {
-        self.queue.iter().position(|frame| matches!(frame, OutgoingFrame::Batch(_)))
+    /// Queues a health check that must be answered by `deadline`. Returns its deadline, which is later if the one before
+    /// has the same: a timer stands for one health check.
+    pub fn queue_health_check(&mut self, kind: HealthCheckKind, deadline: Micros) -> Micros {
+        let last_deadline = self.health_check_deadlines.back();
+        let deadline = last_deadline.map_or(deadline, |last| deadline.max(last + 1));
+        self.queue.push_back(OutgoingFrame::HealthCheck(kind));
+        self.health_check_deadlines.push_back(deadline);
+        deadline
+    }
+
+    /// Removes the oldest unanswered health check. Returns its deadline.
+    pub fn pop_health_check(&mut self) -> Option<Micros> {
+        self.health_check_deadlines.pop_front()
     }
 
-    /// Removes an attempt that has not begun to be written.
+    /// The attempts of the first queued batch.
+    pub fn first_queued_batch(&self) -> Option<&[AttemptId]> {
+        self.queue.iter().find_map(|frame| match frame {
+            OutgoingFrame::Batch(attempts) => Some(attempts.as_slice()),
+            _ => None,
+        })
+    }
+
+    /// Removes the first queued batch and returns its attempts.
+    pub fn take_first_queued_batch(&mut self) -> Option<Vec<AttemptId>> {
+        let index = self.queue.iter().position(|frame| matches!(frame, OutgoingFrame::Batch(_)))?;
+        match self.queue.remove(index) {
+            Some(OutgoingFrame::Batch(attempts)) => Some(attempts),
+            _ => None,
+        }
+    }
+
+    /// Removes an attempt from the queued frames.
     pub fn remove_queued(&mut self, attempt: AttemptId) {
         self.queue.retain_mut(|frame| match frame {
             OutgoingFrame::Batch(attempts) => {
@@ -202,11 +287,13 @@
         });
     }
 
-    /// Cancels an attempt; the node is told of one that was written. Keeps the ids of at most `max_abandoned`
-    /// shard requests to which a response may still come. Guards against a connection that fell silent while its
-    /// node is well: one that has received nothing since an attempt whose response was `due_since` is not reused.
+    /// Cancels an attempt; a cancellation is queued for one that was written. Keeps the ids of at most `max_abandoned`
+    /// shard requests to which a response may still come. `overdue_since` is when the attempt was requested if its
+    /// response should have come by now. Guards against a connection that fell silent while its node is well: one that
+    /// has received no frame since then is not reused.
     pub fn cancel(
-        &mut self, attempt: AttemptId, id: &Rc<str>, max_abandoned: usize, due_since: Option<Micros>,
+        &mut self, attempt: AttemptId, request_id: &Rc<str>, max_abandoned: usize,
+        overdue_since: Option<Micros>,
     ) -> Cancelled {
         let Some(index) = self.in_flight.iter().position(|sent| sent.attempt == attempt) else {
             self.remove_queued(attempt);
@@ -217,18 +304,69 @@
             return Cancelled::PartlyWritten;
         }
         self.in_flight.remove(index);
-        if due_since.is_some_and(|sent_at| self.last_frame_at < sent_at) {
+        if overdue_since.is_some_and(|requested_at| self.last_frame_at < requested_at) {
             self.reusable = false;
         }
         if self.abandoned.len() == max_abandoned {
             self.abandoned.pop_front();
         }
-        self.abandoned.push_back(id.clone());
-        self.queue.push_back(OutgoingFrame::Cancellation(id.clone()));
+        self.abandoned.push_back(request_id.clone());
+        self.queue.push_back(OutgoingFrame::Cancellation(request_id.clone()));
         Cancelled::Sent
     }
 
-    /// Whether an attempt was sent here and is known to be written in full.
+    /// Notes that a frame of `length` bytes was handed to the event loop. Returns how many bytes are written on the
+    /// connection once the frame is.
+    pub fn add_handed_over(&mut self, length: usize) -> u64 {
+        self.bytes_handed_over += length as u64;
+        self.bytes_handed_over
+    }
+
+    /// Adds attempts that were handed to the event loop to those in flight.
+    pub fn add_in_flight(&mut self, sent: impl IntoIterator<Item = InFlight>) {
+        self.in_flight.extend(sent);
+    }
+
+    /// Removes and returns all attempts in flight.
+    pub fn take_in_flight(&mut self) -> Vec<InFlight> {
+        std::mem::take(&mut self.in_flight)
+    }
+
+    /// Removes the attempt in flight at the shard request with this id, which was answered.
+    pub fn take_answered(&mut self, request_id: &str) -> Option<AttemptId> {
+        let index = self.in_flight.iter().position(|sent| &*sent.id == request_id)?;
+        let sent = self.in_flight.remove(index);
+        self.last_answered = Some(sent.id);
+        Some(sent.attempt)
+    }
+
+    /// Notes a response to a shard request that is not in flight; one that was not abandoned here either rules out reuse.
+    /// Returns whether the response may be ignored: it may if the connection can still be reused, or if it repeats the
+    /// last response.
+    pub fn ignore_late_response(&mut self, request_id: &str) -> bool {
+        let abandoned = self.abandoned.iter().position(|known| **known == *request_id);
+        if abandoned.and_then(|index| self.abandoned.remove(index)).is_none() {
+            self.reusable = false;
+        }
+        self.reusable || self.last_answered.as_deref() == Some(request_id)
+    }
+
+    /// The frame of which only the start has come in.
+    pub fn partial_frame(&self) -> Option<PartialFrame> {
+        self.partial_frame
+    }
+
+    /// Notes that received bytes were read: `consumed` bytes of complete frames, and `rest`, the start of another.
+    pub fn note_received(&mut self, now: Micros, consumed: usize, rest: &[u8]) {
+        let since = self.partial_frame.filter(|_| consumed == 0).map_or(now, |partial| partial.since);
+        let attempt = self.attempt_named_in(rest);
+        self.partial_frame = (!rest.is_empty()).then_some(PartialFrame { since, attempt });
+        if consumed > 0 {
+            self.last_frame_at = now;
+        }
+    }
+
+    /// Whether an attempt was sent on the connection and is known to be written in full.
     pub fn has_written(&self, attempt: AttemptId) -> bool {
         self.in_flight.iter().any(|sent| sent.attempt == attempt && sent.end_offset <= self.bytes_flushed)
     }
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -123,14 +123,14 @@
             return queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent);
         };
         let request = queries.shard_request(attempt.shard_request);
-        // A response was due if another attempt was answered first, or after the time a connection may take.
-        let response_due =
+        // Its response is overdue if another attempt was answered first, or after the connect timeout.
+        let is_overdue =
             request.value.is_some() || context.now - requested_at >= context.limits.connect_timeout;
         let cancelled = context.connections.node(connection).cancel(
             attempt,
             &request.id,
             context.limits.max_requests_per_connection,
-            response_due.then_some(requested_at),
+            is_overdue.then_some(requested_at),
         );
         match cancelled {
             Cancelled::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
@@ -162,7 +162,7 @@
         }
         for id in endpoint.connections {
             let connection = context.connections.node(id);
-            if let Establishment::Established { since } = connection.establishment
+            if let Establishment::Established { since } = connection.establishment()
                 && since < endpoint.started_at
             {
                 context.effects.push(Effect::Abort(id));
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -54,7 +54,7 @@
 pub fn set_timer(context: &mut Context, id: ConnectionId) {
     let (connect_timeout, idle_timeout) = (context.limits.connect_timeout, context.limits.idle_timeout);
     let connection = context.connections.node(id);
-    let at = match (connection.establishment, connection.partial_frame) {
+    let at = match (connection.establishment(), connection.partial_frame()) {
         (Establishment::Connecting { since }, _) => Some(since + connect_timeout),
         (_, Some(partial)) => Some(partial.since + connect_timeout),
         (_, None) => connection.idle_since().map(|since| since + idle_timeout),
@@ -67,10 +67,10 @@
     let now = context.now;
     let connection = context.connections.node(id);
     if connection.idle_since().is_some() {
-        if !connection.reusable {
+        if !connection.is_reusable() {
             return context.close_idle_node(id);
         }
-        connection.idle_from = now;
+        connection.restart_idle_time(now);
     }
     set_timer(context, id);
 }
@@ -82,9 +82,9 @@
 ) -> Vec<NodeReport<'static>> {
     let connection = context.connections.node(id);
     let was_established = connection.is_established();
-    let cause = connection.close_cause;
+    let cause = connection.close_cause();
     let queued: Vec<AttemptId> = connection.queued_attempts().collect();
-    let in_flight = std::mem::take(&mut connection.in_flight);
+    let in_flight = connection.take_in_flight();
     // One that was established and ends before a frame is written says nothing of whether its node can be
     // reached.
     let (not_written, check_outcome) = if was_established {
@@ -125,7 +125,7 @@
 ) -> Option<NodeReport<'a>> {
     let connection = context.connections.node(id);
     let node = connection.node;
-    let deadline = connection.health_check_deadlines.pop_front()?;
+    let deadline = connection.pop_health_check()?;
     context.timers.remove(deadline, Timer::HealthCheckTimeout(id));
     let latency = context.now - (deadline - context.limits.connect_timeout);
     Some(NodeReport::HealthCheck { finished: FinishedHealthCheck { node, outcome, latency }, load })
@@ -135,17 +135,9 @@
 /// taking good nodes for crashed ones: responses are damaged on the way too. The balancer is told of one attempt,
 /// the one `named` or else the oldest; the others in flight here are cancelled by the close.
 pub fn close_malformed(context: &mut Context, id: ConnectionId, named: Option<AttemptId>) {
-    let connection = context.connections.node(id);
-    let malformed = named.or(connection.in_flight.first().map(|sent| sent.attempt));
-    match malformed {
-        None => {
-            connection.close_cause = CloseCause::Local;
-            context.counters.frames_unexpected += 1;
-        }
-        Some(attempt) => {
-            connection.close_cause = CloseCause::MalformedResponse(attempt);
-            note_malformed_frame(context, id, "the node sent a frame that could not be parsed");
-        }
+    match context.connections.node(id).set_malformed(named) {
+        None => context.counters.frames_unexpected += 1,
+        Some(_) => note_malformed_frame(context, id, "the node sent a frame that could not be parsed"),
     }
     context.effects.push(Effect::Abort(id));
 }
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -11,7 +11,7 @@
 pub use write::write;
 
 use crate::io::{ConnectionId, Effect};
-use crate::router::connection::node::{Establishment, HealthCheckKind, OutgoingFrame};
+use crate::router::connection::node::HealthCheckKind;
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use crate::router::timers::Timer;
@@ -20,15 +20,14 @@
 
 /// A connection is established.
 pub fn established(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
-    context.connections.node(id).establishment = Establishment::Established { since: context.now };
+    context.connections.node(id).set_established(context.now);
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
 
 /// Everything handed to the event loop is written.
 pub fn flushed(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
-    let connection = context.connections.node(id);
-    connection.bytes_flushed = connection.bytes_handed_over;
+    context.connections.node(id).set_flushed();
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
@@ -37,12 +36,7 @@
 pub fn check_health(context: &mut Context, queries: &mut QueryTable, node: NodeId, kind: HealthCheckKind) {
     let Some(id) = connection_for(context, queries, node, &[]) else { return };
     let deadline = context.now + context.limits.connect_timeout;
-    let connection = context.connections.node(id);
-    // No two have the same deadline: a timer stands for one health check.
-    let last_deadline = connection.health_check_deadlines.back();
-    let deadline = last_deadline.map_or(deadline, |last| deadline.max(last + 1));
-    connection.queue.push_back(OutgoingFrame::HealthCheck(kind));
-    connection.health_check_deadlines.push_back(deadline);
+    let deadline = context.connections.node(id).queue_health_check(kind, deadline);
     context.timers.insert(deadline, Timer::HealthCheckTimeout(id));
     write(context, queries, id);
 }
@@ -64,7 +58,7 @@
     if !connection.is_established() {
         return ended(context, queries, id, 0);
     }
-    if let Some(partial) = connection.partial_frame {
+    if let Some(partial) = connection.partial_frame() {
         close_malformed(context, id, partial.attempt);
     } else if connection.idle_since().is_some() {
         context.close_idle_node(id);
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -5,7 +5,6 @@
 };
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::frames::{self, FrameKind, ShardResponse};
-use crate::router::connection::node::PartialFrame;
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use balancer::{AttemptOutcome, LoadMetric};
@@ -56,14 +55,7 @@
 
 /// Notes the frame that has begun to come in, and what was consumed before it.
 fn finish_reading(context: &mut Context, id: ConnectionId, rest: &[u8], consumed: usize) {
-    let now = context.now;
-    let connection = context.connections.node(id);
-    let since = connection.partial_frame.filter(|_| consumed == 0).map_or(now, |partial| partial.since);
-    let attempt = connection.attempt_named_in(rest);
-    connection.partial_frame = (!rest.is_empty()).then_some(PartialFrame { since, attempt });
-    if consumed > 0 {
-        connection.last_frame_at = now;
-    }
+    context.connections.node(id).note_received(context.now, consumed, rest);
     context.effects.push(Effect::Consume { connection: id, count: consumed });
     close_or_keep_idle(context, id);
 }
@@ -77,7 +69,7 @@
         FrameKind::NotUnderstood => {
             // The node is about to close the connection: what is not sent yet goes elsewhere.
             note_malformed_frame(context, id, &String::from_utf8_lossy(content));
-            context.connections.node(id).reusable = false;
+            context.connections.node(id).forbid_reuse();
             context.effects.push(Effect::Abort(id));
             Received::Handled
         }
@@ -91,33 +83,25 @@
 ) -> Received<'a> {
     let Ok(response) = ShardResponse::parse(content) else { return Received::Malformed };
     let ShardResponse { id: request_id, outcome, load_report: load, value } = response;
-    let connection = context.connections.node(id);
-    let Some(index) = connection.in_flight.iter().position(|sent| &*sent.id == request_id) else {
+    let Some(attempt) = context.connections.node(id).take_answered(request_id) else {
         return receive_late_response(context, id, request_id);
     };
-    let sent = connection.in_flight.remove(index);
-    connection.last_answered = Some(sent.id);
     if outcome == AttemptOutcome::Succeeded {
-        queries.store_value(sent.attempt.shard_request, value);
+        queries.store_value(attempt.shard_request, value);
     }
     let load = std::str::from_utf8(load).ok().and_then(parse_load);
-    match queries.finish_attempt(context, sent.attempt, outcome) {
+    match queries.finish_attempt(context, attempt, outcome) {
         Some(finished) => Received::Report(NodeReport::Attempt { finished, load: load.unwrap_or_default() }),
         None => Received::Handled,
     }
 }
 
-/// A response to a shard request that is not in flight here. An id that does not belong here means that the connection
-/// cannot be reused; so does a second copy of the last response, but that one is no malformed frame.
+/// Counts a response to a shard request that is not in flight on the connection. It is malformed if the connection cannot
+/// be reused by now, unless it repeats the last response.
 fn receive_late_response<'a>(context: &mut Context, id: ConnectionId, request_id: &str) -> Received<'a> {
-    let connection = context.connections.node(id);
-    let abandoned = connection.abandoned.iter().position(|known| **known == *request_id);
-    if abandoned.and_then(|index| connection.abandoned.remove(index)).is_none() {
-        connection.reusable = false;
-    }
-    let usable = connection.reusable || connection.last_answered.as_deref() == Some(request_id);
     context.counters.responses_late += 1;
-    if usable { Received::Handled } else { Received::Malformed }
+    let ignored = context.connections.node(id).ignore_late_response(request_id);
+    if ignored { Received::Handled } else { Received::Malformed }
 }
 
 /// The answer to a health check, with the node's load or a plain word.
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -2,7 +2,7 @@
 
 use super::lifecycle::open;
 use crate::io::ConnectionId;
-use crate::router::connection::node::{NodeConnection, OutgoingFrame};
+use crate::router::connection::node::NodeConnection;
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use balancer::{AttemptId, Micros, NodeId};
@@ -87,14 +87,12 @@
 fn reassign_batch(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, node: NodeId,
 ) -> Option<ConnectionId> {
-    let index = context.connections.node(id).first_queued_batch()?;
-    let OutgoingFrame::Batch(attempts) = &context.connections.node(id).queue[index] else { return None };
-    let attempts = attempts.clone();
-    let candidate = best_connection(context, queries, node, &queries.ids(&attempts))?;
+    let ids = queries.ids(context.connections.node(id).first_queued_batch()?);
+    let candidate = best_connection(context, queries, node, &ids)?;
     if candidate.suitability != Suitability::Idle {
         return None;
     }
-    context.connections.node(id).queue.remove(index);
+    let attempts = context.connections.node(id).take_first_queued_batch()?;
     context.counters.batches_reassigned += 1;
     queue_batch(context, queries, candidate.connection, attempts);
     Some(candidate.connection)
@@ -115,17 +113,14 @@
 fn can_carry(context: &Context, queries: &QueryTable, connection: &NodeConnection, ids: &[Rc<str>]) -> bool {
     let idle_since = connection.idle_since();
     // Guards against a response that comes behind a frame of which only half has come.
-    let half_a_frame_came = idle_since.is_some() && connection.partial_frame.is_some();
-    let carries = |id: &Rc<str>| {
-        connection.abandoned.contains(id)
-            || connection.in_flight.iter().any(|sent| sent.id == *id)
-            || connection
-                .queued_attempts()
-                .any(|attempt| queries.shard_request(attempt.shard_request).id == *id)
+    let half_a_frame_came = idle_since.is_some() && connection.partial_frame().is_some();
+    let is_queued = |id: &Rc<str>| {
+        connection.queued_attempts().any(|attempt| queries.shard_request(attempt.shard_request).id == *id)
     };
+    let carries = |id: &Rc<str>| connection.may_answer(id) || is_queued(id);
     !half_a_frame_came
         && context.endpoints[connection.node].address == Some(connection.address)
-        && connection.reusable
+        && connection.is_reusable()
         && idle_since.is_none_or(|since| context.now - since < context.limits.idle_timeout)
         && connection.load() + ids.len() <= context.limits.max_requests_per_connection
         && !ids.iter().any(carries)
--- a/crates/query-router/src/router/node_connections/write.rs
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -12,12 +12,12 @@
 /// Hands what is queued for a connection to the event loop, once everything before it is written.
 pub fn write(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let Some(connection) = context.connections.as_node(id) else { return };
-    if !connection.is_established() || !connection.is_flushed() || connection.queue.is_empty() {
+    if !connection.is_established() || !connection.is_flushed() || connection.is_queue_empty() {
         return;
     }
     cancel_expired(context, queries, id);
     let connection = context.connections.node(id);
-    if connection.queue.is_empty() {
+    if connection.is_queue_empty() {
         return;
     }
     // Guards against a batch that is sent behind a node's last frame, or behind half of one.
@@ -28,7 +28,7 @@
         ExpectedInput::Response
     };
     let mut buffers: Vec<Bytes> = Vec::new();
-    while let Some(frame) = context.connections.node(id).queue.pop_front() {
+    while let Some(frame) = context.connections.node(id).pop_queued() {
         encode(context, queries, id, frame, &mut buffers);
     }
     context.effects.push(Effect::WriteIfOpen { connection: id, buffers, expected });
@@ -65,10 +65,9 @@
     let head = frames::head(kind.letter(), length);
     buffers[head_index] = head.into();
     let connection = context.connections.node(id);
-    connection.bytes_handed_over += (head.len() + length) as u64;
+    let end_offset = connection.add_handed_over(head.len() + length);
     if let OutgoingFrame::Batch(attempts) = frame {
-        let end_offset = connection.bytes_handed_over;
-        connection.in_flight.extend(attempts.into_iter().map(|attempt| {
+        connection.add_in_flight(attempts.into_iter().map(|attempt| {
             let id = queries.shard_request(attempt.shard_request).id.clone();
             InFlight { id, attempt, end_offset }
         }));
