--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -6,7 +6,7 @@
 use query_router::config::Config;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Hand out decisions to other proxies through xDS until told to end.
+/// Serve decisions to other proxies through xDS until a signal asks for the shutdown.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 pub struct Control {
@@ -28,7 +28,7 @@
 }
 
 impl Control {
-    /// Serves until a signal asks for the end, or prints a proxy's resources.
+    /// Serves until a signal asks for the shutdown, or prints a proxy's resources.
     pub fn run(self) -> Result<(), CliError> {
         let mut file = read_operator_file(self.operator.clone())?;
         log_to_stderr(&mut file)?;
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,7 +3,7 @@
 use crate::{CliError, log_to_stderr, read_configuration, read_operator_file};
 use argh::FromArgs;
 
-/// Serve on sockets until told to end.
+/// Serve queries on sockets until a signal asks for the shutdown.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct Serve {
@@ -16,7 +16,7 @@
 }
 
 impl Serve {
-    /// Serves until a signal asks for the end.
+    /// Serves until a signal asks for the shutdown.
     pub fn run(self) -> Result<(), CliError> {
         let signals = query_router::install_signal_handlers()?;
         log_to_stderr(&mut read_operator_file(self.operator)?)?;
--- a/crates/query-router/src/counters.rs
+++ b/crates/query-router/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of what was received, sent and answered, and of invariants that did not hold. They are printed on
-//! SIGUSR1, at the exit, and under `/-/counters`.
+//! Counters of what was received, sent and answered, and of violated invariants. They are printed on SIGUSR1 and at the
+//! exit, and served under `/-/counters`.
 
 use std::fmt::Write;
 
@@ -27,17 +27,17 @@
     client_connections_delayed,
     /// Idle connections of clients that were closed to make room for others.
     client_connections_evicted,
-    /// Requests that could not be parsed or understood.
+    /// Requests that were malformed or whose query was invalid.
     requests_invalid,
     /// Requests that were rejected while incomplete, since incomplete requests together took too much memory.
     requests_over_memory,
-    /// Queries that the balancer was told of.
+    /// Queries that were accepted and reported to the balancer.
     queries_accepted,
     /// Queries that were rejected because too many queries and shard requests were in flight.
     queries_over_limit,
     /// Queries whose client disconnected before the answer.
     queries_abandoned_by_client,
-    /// Queries that were answered with everything that was asked for.
+    /// Queries that were answered in full.
     queries_complete,
     /// Queries that were answered in part.
     queries_partial,
@@ -73,10 +73,10 @@
     attempts_malformed_response,
     /// Responses to shard requests that were not in flight on their connection.
     responses_late,
-    /// Frames that could not be parsed while a response was due, and notices that a node could not use a
-    /// frame.
+    /// Frames that could not be parsed while an attempt was in flight on their connection, and notices of nodes that
+    /// they could not parse a frame.
     frames_malformed,
-    /// Frames that could not be used while no response was due.
+    /// Frames that could not be parsed while no attempt was in flight on their connection.
     frames_unexpected,
     /// Connections to nodes that were begun.
     node_connections_opened,
@@ -92,9 +92,9 @@
     endpoint_lists_incremental,
     /// Answers of discovery that could not be used.
     endpoint_lists_invalid,
-    /// Endpoint lists that were skipped because a newer one had come before.
+    /// Endpoint lists that were skipped because a newer one had been applied before.
     endpoint_lists_stale,
-    /// Watches that fell silent and were replaced.
+    /// Watches that sent nothing for too long and were replaced.
     endpoint_watches_silent,
     /// Polls and watches that were begun.
     discovery_requests,
@@ -104,11 +104,11 @@
     sockets_peak,
     /// Decisions of the balancer.
     decisions,
-    /// Invariants that did not hold. Anything but 0 is a fault of the router.
+    /// Violated invariants. Any value but 0 is a fault of the router.
     invariants_violated,
 );
 
-/// Checks what must always hold: panics in debug builds, counts a violation in release builds.
+/// Checks an invariant: panics in debug builds if it is violated, counts the violation in release builds.
 macro_rules! debug_invariant {
     ($counters:expr, $holds:expr, $what:literal) => {
         if !$holds {
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -14,14 +14,14 @@
 /// How long the listener is paused after accepting failed.
 const ACCEPT_PAUSE: Micros = 100_000;
 
-/// What an attempt to accept a connection came to.
+/// The outcome of an attempt to accept a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptOutcome {
     /// A stream was accepted and queued.
     Accepted,
     /// No client is waiting.
     NoneWaiting,
-    /// The system refused, for example for want of file descriptors.
+    /// The system call failed, for example because no file descriptor is left.
     Failed,
 }
 
@@ -31,7 +31,7 @@
     token: RegistrationToken,
     /// Whether the event loop watches the listener.
     enabled: bool,
-    /// Until when the listener stays paused because accepting failed; 0 if it did not fail last time.
+    /// When to accept again after a failure; 0 if accepting did not fail last time.
     retry_at: Micros,
     /// Streams that the router has not taken yet.
     accepted: VecDeque<TcpStream>,
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: sockets, signals and the clock. It tells the router of events and carries out the effects
-//! that the router asks for; it decides nothing and does not interpret what is sent.
+//! The event loop: sockets, signals and the clock. It reports events to the router and carries out the effects that the
+//! router asks for; it decides nothing and does not interpret the bytes of a connection.
 
 mod clock;
 mod effects;
@@ -29,7 +29,7 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// How often one connection is read before the others have their turn.
+/// How often one connection is read in an iteration of the event loop.
 const MAX_READS_PER_ITERATION: usize = 4;
 
 /// Whether the process is about to exit.
@@ -43,7 +43,7 @@
     Done,
 }
 
-/// The router with all that it has to do with the system.
+/// The router with its sockets, signals and clock.
 struct Server {
     handle: LoopHandle<'static, Server>,
     /// The configuration at the start.
@@ -56,17 +56,17 @@
     accept_pending: bool,
     /// The connections by id.
     sockets: Vec<Option<Socket>>,
-    /// What the system reported of connections since the last iteration.
+    /// The connections that became readable or writable since the last iteration.
     ready: Vec<(ConnectionId, Readiness)>,
     pending_events: VecDeque<PendingEvent>,
     pending_signals: Vec<SignalRequest>,
-    /// When the router wants to be told that time has passed.
+    /// When to report [`Event::TimerExpired`].
     wake_at: Option<Micros>,
     read_buffer: Vec<u8>,
     exit: ExitState,
 }
 
-/// Serves queries until a signal asks for the end, then shuts down gracefully and prints the counters to
+/// Serves queries until SIGTERM or SIGINT, then shuts down gracefully and prints the counters to
 /// standard error. On SIGHUP the configuration is read again from `config_path`.
 ///
 /// # Errors
@@ -122,7 +122,7 @@
 }
 
 impl Server {
-    /// How long to wait for events at most; `None` if nothing is due.
+    /// The longest time to wait for events; `None` if no timer is set.
     fn poll_timeout(&self) -> Option<Duration> {
         let now = self.clock.now();
         if !self.ready.is_empty() {
@@ -132,7 +132,7 @@
         next.map(|at| Duration::from_micros((at - now).max(0) as u64))
     }
 
-    /// Tells the router of all that came in, then has it decide once.
+    /// Reports all events to the router, then has it decide once.
     fn run_iteration(&mut self) {
         self.handle_ready_connections();
         if std::mem::take(&mut self.accept_pending) {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Reads until nothing is left or the buffer is full, and reports what came.
+    /// Reads until nothing is left or the input buffer is full, and reports what was received.
     fn read(&mut self, connection: ConnectionId) {
         for _ in 0..MAX_READS_PER_ITERATION {
             let Some(Some(socket)) = self.sockets.get_mut(connection.0) else { return };
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Reads the configuration again. One that cannot be used changes nothing.
+    /// Reads the configuration again. An invalid one changes nothing.
     fn reload_config(&mut self) {
         match Config::read(&self.config_path) {
             Ok(newer) => {
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Has the router decide on what it was told.
+    /// Has the router decide, and carries out the effects that it asks for.
     fn decide(&mut self) {
         self.router.decide(self.clock.now());
         self.carry_out_effects();
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -1,5 +1,4 @@
-//! One non-blocking connection with its buffers. It reports what the system said; what follows from that is
-//! decided elsewhere.
+//! One non-blocking connection with its buffers. It returns the outcome of each system call and decides nothing.
 
 use crate::io::Bytes;
 use crate::protocol::http::MAX_REQUEST_BYTES;
@@ -25,7 +24,7 @@
     Connected,
 }
 
-/// What became of a connection that was being established.
+/// How far a connection that is being established has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectProgress {
     /// Nothing is known yet.
@@ -36,7 +35,7 @@
     Failed,
 }
 
-/// What one read came to.
+/// The outcome of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
     /// Bytes were added to the input buffer.
@@ -53,7 +52,7 @@
     Failed,
 }
 
-/// What writing the queued output came to.
+/// The outcome of writing the queued output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
     /// Nothing was queued.
@@ -66,7 +65,7 @@
     Failed,
 }
 
-/// What the system holds of a connection that was not read yet.
+/// What the system has received on a connection and the router has not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unread {
     /// Nothing has come in.
@@ -157,8 +156,8 @@
                 self.input.extend_from_slice(&buffer[..count]);
                 ReadOutcome::Received
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
-            Err(e) if e.kind() == ErrorKind::Interrupted => ReadOutcome::Interrupted,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
+            Err(error) if error.kind() == ErrorKind::Interrupted => ReadOutcome::Interrupted,
             Err(_) => ReadOutcome::Failed,
         }
     }
@@ -174,7 +173,7 @@
     /// Looks at what has come in without reading it.
     pub(super) fn unread(&self) -> Unread {
         match self.stream.peek(&mut [0]) {
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Unread::Nothing,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Unread::Nothing,
             Ok(count) if count > 0 => Unread::Bytes,
             Ok(_) | Err(_) => Unread::End,
         }
@@ -193,8 +192,8 @@
         while !self.output.is_empty() {
             match self.write_once() {
                 Ok(count) => self.discard_written(count),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return WriteOutcome::WouldBlock,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return WriteOutcome::WouldBlock,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
                     self.output.clear();
                     return WriteOutcome::Failed;
@@ -208,7 +207,7 @@
     fn write_once(&self) -> std::io::Result<usize> {
         let pieces = self.output.iter().take(MAX_PIECES_PER_WRITE).enumerate();
         let unwritten =
-            pieces.map(|(i, piece)| if i == 0 { &piece[self.piece_offset..] } else { &piece[..] });
+            pieces.map(|(index, piece)| if index == 0 { &piece[self.piece_offset..] } else { &piece[..] });
         let slices: Vec<IoSlice> = unwritten.map(IoSlice::new).collect();
         (&*self.stream).write_vectored(&slices)
     }
@@ -244,7 +243,7 @@
 ///
 /// # Errors
 ///
-/// What the system says if it refuses at once.
+/// The system's error if connecting fails at once.
 pub(super) fn start_connecting(address: SocketAddr) -> std::io::Result<TcpStream> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -252,6 +251,6 @@
     stream.set_nodelay(true)?;
     match net::connect(&stream, &address) {
         Ok(()) | Err(Errno::INPROGRESS) => Ok(stream),
-        Err(e) => Err(e.into()),
+        Err(error) => Err(error.into()),
     }
 }
--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -1,8 +1,9 @@
 //! The query router on sockets: [`serve`] answers queries until a signal asks for the end. `docs/architecture.md` goes
 //! through it file by file; the binary `query-router` in `crates/cli` starts it.
 //!
-//! The event loop owns everything of the operating system: sockets, signals and the clock. The state machine behind it
-//! is told of events and asks for effects, and contains the balancer, which takes every decision.
+//! The event loop owns everything of the operating system: sockets, signals and the clock. It reports events to the
+//! router's state machine and carries out the effects that the state machine asks for. The state machine contains the
+//! balancer, which takes every decision.
 
 #![warn(missing_docs)]
 
--- a/crates/query-router/src/protocol/frames.rs
+++ b/crates/query-router/src/protocol/frames.rs
@@ -90,9 +90,9 @@
     Line,
     /// The id of the shard request.
     Id,
-    /// The word that says how the attempt ended.
+    /// The outcome of the attempt.
     Status,
-    /// The figure behind the status.
+    /// The score, a number behind the status.
     Score,
     /// The load report.
     LoadReport,
--- a/crates/query-router/src/protocol/http/chunked.rs
+++ b/crates/query-router/src/protocol/http/chunked.rs
@@ -8,7 +8,7 @@
 enum ChunkState {
     /// The line with a chunk's size.
     Size,
-    /// Data of a chunk, of which so many bytes are still to come.
+    /// Data of a chunk, of which `remaining` bytes are still to come.
     Data { remaining: u64 },
     /// The line end behind a chunk's data.
     DataEnd,
@@ -30,13 +30,13 @@
     state: ChunkState,
 }
 
-/// What one step of the decoder came to.
+/// The outcome of one step of the decoder.
 enum Step {
-    /// It consumed so many bytes and may go on.
+    /// It consumed this number of bytes and may go on.
     Consumed(usize),
     /// It needs more bytes.
     Incomplete,
-    /// It consumed so many bytes, and the body is complete.
+    /// It consumed this number of bytes, and the body is complete.
     Complete(usize),
 }
 
--- a/crates/query-router/src/protocol/json_stream.rs
+++ b/crates/query-router/src/protocol/json_stream.rs
@@ -38,9 +38,9 @@
     /// Between objects.
     #[default]
     Between,
-    /// Inside so many nested objects and arrays.
+    /// Inside `depth` nested objects and arrays.
     Inside { depth: usize },
-    /// Inside a string within so many nested objects and arrays.
+    /// Inside a string within `depth` nested objects and arrays.
     InString { depth: usize },
     /// Behind a backslash in such a string.
     InEscape { depth: usize },
--- a/crates/query-router/src/protocol/query_request.rs
+++ b/crates/query-router/src/protocol/query_request.rs
@@ -1,4 +1,4 @@
-//! The body and headers of a client's query, checked field by field before the balancer is told of it.
+//! The body and headers of a client's query, checked field by field before the query is reported to the balancer.
 
 #[cfg(test)]
 mod tests;
--- a/crates/query-router/src/router/clients/idle.rs
+++ b/crates/query-router/src/router/clients/idle.rs
@@ -1,12 +1,13 @@
-//! Client connections without a request: how many there may be, and how they are closed.
+//! Client connections without a request: their limit, and how they are closed.
 
 use crate::io::{ConnectionId, Effect};
 use crate::router::connection::client::{ClientConnection, ClientState};
 use crate::router::context::Context;
 use balancer::Micros;
 
-/// How long a connection that was closed for writing is still read.
+/// How long a connection is still read after its writing side was closed.
 pub const LINGER: Micros = 1_000_000;
+
 /// Graceful shutdown: closes the connections without a request.
 pub fn close_idle(context: &mut Context) {
     context.shutdown.close_idle();
@@ -16,7 +17,8 @@
     }
 }
 
-/// Closes a connection between requests so that one which crosses the close meets no reset: its client asks again.
+/// Closes the writing side of a connection between requests. A request that crosses the close meets no reset, and its
+/// client sends it again.
 pub fn half_close(context: &mut Context, id: ConnectionId) {
     context.connections.client(id).state = ClientState::HalfClosed;
     context.effects.push(Effect::CloseWrite(id));
@@ -28,9 +30,9 @@
     context.connections.clients().filter(|(_, client)| client.without_request())
 }
 
-/// Evicts idle clients, the longest idle first. Guards against clients that send one request and stay, or never send
-/// one: clients may hold a third of the connections for requests, and of that at most half may have none, so that
-/// others can be accepted.
+/// Evicts idle clients, the longest idle first, while clients without a request hold more than a sixth of all
+/// connections. Guards against clients that keep connections without sending requests: clients may hold a third of all
+/// connections, and at most half of that without a request, so that others can be accepted.
 pub fn evict_surplus_idle(context: &mut Context) {
     let max_without_request = (context.limits.max_connections / 6).max(1);
     let surplus = without_request(context).count().saturating_sub(max_without_request);
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: requests in, answers out, one at a time on each.
+//! Client connections: each carries one request and its answer at a time.
 
 mod idle;
 mod replies;
@@ -15,35 +15,36 @@
 use idle::{LINGER, evict_surplus_idle, half_close};
 use replies::Replies;
 
-/// How long a new connection may stay without a request, as the operators state it.
+/// How long a new connection may stay without a request before it counts as idle, as the operators state it.
 const FIRST_REQUEST_TIMEOUT: Micros = 2_000_000;
-/// Incomplete requests of all clients may take up one part in so many of the memory.
+/// The divisor of the memory limit that gives the most memory for incomplete requests of all clients.
 const UNCONSUMED_SHARE_OF_MEMORY: usize = 4;
 
-/// A query that was taken in.
+/// A query that was accepted.
 #[derive(Debug)]
 pub struct AcceptedQuery {
-    /// What the balancer is told of it.
+    /// The report of the query to the balancer.
     pub arrival: QueryArrival,
-    /// What it asks of each shard.
+    /// The shards that it asks for.
     pub shards: Vec<RequestedShard>,
 }
 
 /// All client connections.
 pub struct Clients {
-    /// How many have connected and wait until a connection can be accepted.
+    /// How many clients have connected and wait to be accepted.
     pending_accepts: usize,
     replies: Replies,
-    /// How many bytes were received from all clients and are not consumed, and how many there may be.
+    /// How many bytes were received from all clients and are not consumed.
     unconsumed: usize,
+    /// The limit on `unconsumed` above which incomplete requests are rejected.
     max_unconsumed: usize,
-    /// How many queries and shard requests may be open.
+    /// The limit on unanswered queries plus their shard requests.
     max_in_flight: Option<usize>,
     vocabulary: QueryVocabulary,
 }
 
 impl Clients {
-    /// As the configuration says.
+    /// The client side of a router with this configuration; no client is connected yet.
     pub fn new(config: &Config) -> Clients {
         let settings = &config.settings;
         let classes = names_in_list(settings, "class");
@@ -70,7 +71,7 @@
         self.replies.longest_deadline
     }
 
-    /// A client has connected.
+    /// Handles a client that has connected.
     pub fn connected(&mut self, context: &mut Context) {
         self.pending_accepts += 1;
         context.counters.client_connections_arrived += 1;
@@ -78,7 +79,7 @@
         context.counters.client_connections_delayed += u64::from(self.pending_accepts > 0);
     }
 
-    /// Accepts those that have connected, as far as the limit on descriptors allows.
+    /// Accepts waiting clients, as far as the limit on descriptors allows.
     pub fn accept_pending(&mut self, context: &mut Context) {
         while self.pending_accepts > 0 {
             let client = ClientConnection::new(context.now);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Reads what a client has sent; returns a query if that is what it has requested.
+    /// Reads the bytes that a client has sent. Returns its query if they hold one that is accepted.
     pub fn received(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
     ) -> Option<AcceptedQuery> {
@@ -112,8 +113,8 @@
         self.read_request(context, queries, id, bytes)
     }
 
-    /// What comes before the answer to the last request waits, within limits. Guards against a client that sends much
-    /// at once and goes: its end lies behind what is not read.
+    /// Keeps bytes that a client sends before its last request is answered, within limits. Guards against a client that
+    /// sends much and disconnects: its end is noticed only after everything before it is read.
     fn received_before_answer(&mut self, context: &mut Context, id: ConnectionId, length: usize) {
         let is_over_memory = self.is_over_memory();
         let client = context.connections.client(id);
@@ -151,7 +152,7 @@
         }
     }
 
-    /// Answers a request that is not read to its end; the connection cannot be used after that.
+    /// Rejects a request that is not read in full; the connection cannot be used afterwards.
     fn reject_unread(
         &mut self, context: &mut Context, id: ConnectionId, length: usize, status: u16, reason: &str,
     ) {
@@ -160,7 +161,7 @@
         self.replies.reply_line(context, id, status, reason);
     }
 
-    /// A request has come in only in part.
+    /// Handles a request that was received in part.
     fn incomplete_request(&self, context: &mut Context, id: ConnectionId, bytes: &[u8]) {
         let client = context.connections.client(id);
         if client.without_request() && !bytes.is_empty() {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Answers a request, unless it is a query.
+    /// Handles a complete request: accepts a query, and answers everything else.
     fn request(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
     ) -> Option<AcceptedQuery> {
@@ -247,7 +248,7 @@
         self.replies.reply_line(context, id, 400, reason);
     }
 
-    /// An answer is written: closes the connection, or waits for the next request on it.
+    /// Handles an answer that was written: closes the connection, or waits for the next request on it.
     pub fn answer_written(&self, context: &mut Context, id: ConnectionId) {
         let now = context.now;
         let client = context.connections.client(id);
@@ -259,8 +260,8 @@
         }
         client.state = ClientState::Idle;
         client.idle_from = now;
-        // Guards against a shutdown that began behind this answer's head, which asks for more: what was read behind
-        // the request is consumed before the connection is closed.
+        // Guards against a shutdown that began after the head of this answer was encoded, which keeps the connection
+        // open: requests that were received behind the last one are answered before the connection is closed.
         let timer = context.shutdown.closes_idle().then_some(now);
         context.set_connection_timer(id, timer);
         context.effects.push(Effect::Redeliver(id));
@@ -275,7 +276,7 @@
         self.replies.answer(context, queries, id, query, completion);
     }
 
-    /// A connection's timer has expired.
+    /// Handles the timer of a connection.
     pub fn timer_expired(&mut self, context: &mut Context, id: ConnectionId) {
         let client = context.connections.client(id);
         match client.state {
@@ -300,7 +301,7 @@
         idle::close_idle(context);
     }
 
-    /// Graceful shutdown: answers the requests that have not come in by the deadline.
+    /// Graceful shutdown: rejects the requests that are incomplete at the deadline.
     pub fn reject_incomplete(&self, context: &mut Context) {
         let incomplete: Vec<ConnectionId> = context
             .connections
@@ -331,8 +332,8 @@
         self.unconsumed > self.max_unconsumed
     }
 
-    /// Notes how many received bytes of a client are not consumed. Guards against many requests that begin and are
-    /// never complete, or stand behind others, each within its own limit and together beyond the memory.
+    /// Notes how many received bytes of a client are not consumed. Guards against many incomplete or pipelined
+    /// requests, each within its own limit, that exceed the memory together.
     fn set_unconsumed(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
         let previous = std::mem::replace(&mut context.connections.client(id).unconsumed, count);
         self.unconsumed = self.unconsumed - previous + count;
--- a/crates/query-router/src/router/clients/replies.rs
+++ b/crates/query-router/src/router/clients/replies.rs
@@ -1,4 +1,4 @@
-//! What is written to clients.
+//! Answers to clients.
 
 use crate::counters::debug_invariant;
 use crate::io::{ConnectionId, Effect};
@@ -8,7 +8,7 @@
 use crate::router::query_table::QueryTable;
 use balancer::{Completion, Micros, QueryId};
 
-/// Writes answers.
+/// Writes answers to clients.
 pub struct Replies {
     /// The longest deadline of any service class: how long a client may take to read an answer.
     pub longest_deadline: Micros,
@@ -24,7 +24,11 @@
         match completion {
             Completion::Complete | Completion::Partial => {
                 let body = queries.answer_body(query, completion);
-                debug_invariant!(context.counters, body.values > 0, "an answer has a value");
+                debug_invariant!(
+                    context.counters,
+                    body.values > 0,
+                    "a complete or partial answer has a value"
+                );
                 self.reply(context, id, 200, "application/json", body.bytes, None);
             }
             Completion::Rejected { retry_after } => {
@@ -36,7 +40,7 @@
         }
     }
 
-    /// Writes an answer; the client has as long to read it as it may wait for one.
+    /// Writes an answer. The client must read it within the longest deadline of any service class.
     pub fn reply(
         &self, context: &mut Context, id: ConnectionId, status: u16, content_type: &str, body: Vec<u8>,
         retry_after: Option<Micros>,
--- a/crates/query-router/src/router/connection/client.rs
+++ b/crates/query-router/src/router/connection/client.rs
@@ -2,16 +2,16 @@
 
 use balancer::{Micros, QueryId};
 
-/// Where a client connection stands between a request and its answer.
+/// The phase of a client connection between a request and its answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientState {
-    /// Accepted recently: a request is about to come, so it is not evicted.
+    /// Accepted recently: a request is about to arrive, so the connection is not evicted.
     New,
-    /// Without a request; it may be evicted.
+    /// No request is in progress; the connection may be evicted.
     Idle,
     /// The event loop was asked to close it unless a request has come in unread.
     ClosingIfIdle,
-    /// A request has begun to come in.
+    /// The start of a request was received.
     ReceivingRequest,
     /// Its query is in progress.
     AwaitingAnswer(QueryId),
@@ -24,11 +24,11 @@
 /// A client connection.
 #[derive(Debug)]
 pub struct ClientConnection {
-    /// Where it stands.
+    /// The phase between a request and its answer.
     pub state: ClientState,
     /// When it was accepted, later when its last answer was written.
     pub idle_from: Micros,
-    /// It is closed after the current answer.
+    /// Whether it is closed after the current answer.
     pub close_after_answer: bool,
     /// How many bytes were received on it and are not consumed.
     pub unconsumed: usize,
--- a/crates/query-router/src/router/connection/discovery.rs
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -5,7 +5,7 @@
 use balancer::{EndpointUpdate, Micros};
 use serde_json::Value as Json;
 
-/// How often discovery sends at least a blank line on a watch.
+/// The longest time after which discovery sends at least a blank line on a watch.
 pub const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 
 /// Why a response of discovery cannot be used.
@@ -40,7 +40,7 @@
     DuplicateId,
 }
 
-/// What is asked of discovery.
+/// The kind of a request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestKind {
     /// The full endpoint list, once.
@@ -67,10 +67,10 @@
     pub json: Json,
 }
 
-/// What stands next in the stream of a watch.
+/// A message in the stream of a watch.
 #[derive(Debug)]
 pub enum WatchMessage {
-    /// A blank line, which says that discovery is well.
+    /// A blank line, which proves that discovery works.
     Heartbeat,
     /// The text of an update.
     Update(Vec<u8>),
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Reads on: how many bytes were consumed and whether the body is complete.
+    /// Reads further bytes. Returns how many were consumed and whether the body is complete.
     pub fn read(&mut self, bytes: &[u8]) -> Result<(usize, BodyProgress), DiscoveryError> {
         let mut consumed = 0;
         if self.framing.is_none() {
@@ -178,7 +178,7 @@
         })
     }
 
-    /// Notes how far the response was read; since when the stream has made no progress.
+    /// Notes how far the response was read. Returns since when the stream has made no progress.
     pub fn note_progress(&mut self, now: Micros, progress: BodyProgress) -> Micros {
         self.progress = progress;
         self.partial_object_since =
@@ -186,15 +186,15 @@
         self.partial_object_since.unwrap_or(self.last_message_at)
     }
 
-    /// Discovery has closed the connection in order, which completes a body without a stated length.
+    /// Notes that discovery has closed the connection in order, which completes a body without a stated length.
     pub fn closed_by_peer(&mut self) {
         if self.framing == Some(BodyFraming::UntilClose) {
             self.progress = BodyProgress::Complete;
         }
     }
 
-    /// The endpoint list of a poll, `None` if the response was not complete. Guards against taking what was cut
-    /// off for complete: a body without a length ends with an orderly close, and no body by a reset.
+    /// The endpoint list of a poll, `None` if the response was not complete. Guards against using a truncated list: a
+    /// body without a length is complete only after an orderly close, and no body after a reset.
     pub fn polled_list(&self) -> Option<Result<EndpointList, DiscoveryError>> {
         let complete = self.kind == RequestKind::Poll
             && self.progress == BodyProgress::Complete
--- a/crates/query-router/src/router/connection/mod.rs
+++ b/crates/query-router/src/router/connection/mod.rs
@@ -22,7 +22,7 @@
     Discovery(DiscoveryRequest),
 }
 
-/// What a connection is for.
+/// The kind of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionKind {
     /// Of a client.
@@ -34,7 +34,7 @@
 }
 
 impl Connection {
-    /// What it is for.
+    /// The kind of the connection.
     pub fn kind(&self) -> ConnectionKind {
         match self {
             Connection::Client(_) => ConnectionKind::Client,
@@ -66,7 +66,7 @@
 }
 
 impl ConnectionTable {
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
@@ -86,12 +86,12 @@
         std::mem::replace(&mut self.slots[id.0].timer_at, at)
     }
 
-    /// What a connection is for, `None` if there is none with this id.
+    /// The kind of a connection, `None` if there is none with this id.
     pub fn kind(&self, id: ConnectionId) -> Option<ConnectionKind> {
         self.slots.get(id.0).map(|slot| slot.connection.kind())
     }
 
-    /// A client connection.
+    /// The client connection with this id, which must be one.
     pub fn client(&mut self, id: ConnectionId) -> &mut ClientConnection {
         match &mut self.slots[id.0].connection {
             Connection::Client(client) => client,
@@ -99,7 +99,7 @@
         }
     }
 
-    /// A node connection.
+    /// The node connection with this id, which must be one.
     pub fn node(&mut self, id: ConnectionId) -> &mut NodeConnection {
         match &mut self.slots[id.0].connection {
             Connection::Node(node) => node,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A node connection, if it is one.
+    /// The node connection with this id, if it is one.
     pub fn as_node(&self, id: ConnectionId) -> Option<&NodeConnection> {
         match &self.slots.get(id.0)?.connection {
             Connection::Node(node) => Some(node),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A request to discovery.
+    /// The request to discovery with this id, which must be one.
     pub fn discovery(&mut self, id: ConnectionId) -> &mut DiscoveryRequest {
         match &mut self.slots[id.0].connection {
             Connection::Discovery(request) => request,
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -23,14 +23,14 @@
     },
 }
 
-/// What became of an attempt that was cancelled.
+/// How far an attempt was sent when it was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Cancelled {
     /// Removed before its first byte was written.
     NotSent,
     /// Its frame is not known to be written in full: the attempt ends with the connection.
     PartlyWritten,
-    /// Written in full; the node is told.
+    /// Written in full; a cancellation is queued for the node.
     Sent,
 }
 
@@ -50,7 +50,7 @@
 pub enum HealthCheckKind {
     /// Whether the node is well.
     Health,
-    /// Its load, where load comes by health checks.
+    /// Its load, where health checks report the load.
     Load,
 }
 
@@ -70,7 +70,7 @@
 pub struct InFlight {
     /// The shard request's id on the wire.
     pub id: Rc<str>,
-    /// The attempt.
+    /// The attempt that was sent.
     pub attempt: AttemptId,
     /// How many bytes are written on the connection once its frame is written in full.
     pub end_offset: u64,
@@ -88,9 +88,9 @@
 /// A connection to a data node.
 #[derive(Debug)]
 pub struct NodeConnection {
-    /// The node.
+    /// The node that it leads to.
     pub node: NodeId,
-    /// Where the connection leads.
+    /// The address that the connection leads to.
     pub address: SocketAddr,
     /// Whether it is established, and since when.
     establishment: Establishment,
@@ -158,7 +158,8 @@
         matches!(self.establishment, Establishment::Established { .. })
     }
 
-    /// Since when it has been idle: established, with nothing queued and no response expected. `None` if it is not idle.
+    /// Since when it has been idle: established, with nothing queued and no response expected. `None` if it is not
+    /// idle.
     pub fn idle_since(&self) -> Option<Micros> {
         let idle = self.is_established()
             && self.in_flight.is_empty()
@@ -244,8 +245,8 @@
         self.queue.push_back(OutgoingFrame::Batch(attempts));
     }
 
-    /// Queues a health check that must be answered by `deadline`. Returns its deadline, which is later if the one before
-    /// has the same: a timer stands for one health check.
+    /// Queues a health check that must be answered by `deadline`. Returns its deadline, which is later if the one
+    /// before has the same: a timer stands for one health check.
     pub fn queue_health_check(&mut self, kind: HealthCheckKind, deadline: Micros) -> Micros {
         let last_deadline = self.health_check_deadlines.back();
         let deadline = last_deadline.map_or(deadline, |last| deadline.max(last + 1));
@@ -288,12 +289,12 @@
     }
 
     /// Cancels an attempt; a cancellation is queued for one that was written. Keeps the ids of at most `max_abandoned`
-    /// shard requests to which a response may still come. `overdue_since` is when the attempt was requested if its
+    /// shard requests to which a response may still come. `unanswered_since` is when the attempt was requested if its
     /// response should have come by now. Guards against a connection that fell silent while its node is well: one that
     /// has received no frame since then is not reused.
     pub fn cancel(
         &mut self, attempt: AttemptId, request_id: &Rc<str>, max_abandoned: usize,
-        overdue_since: Option<Micros>,
+        unanswered_since: Option<Micros>,
     ) -> Cancelled {
         let Some(index) = self.in_flight.iter().position(|sent| sent.attempt == attempt) else {
             self.remove_queued(attempt);
@@ -304,7 +305,7 @@
             return Cancelled::PartlyWritten;
         }
         self.in_flight.remove(index);
-        if overdue_since.is_some_and(|requested_at| self.last_frame_at < requested_at) {
+        if unanswered_since.is_some_and(|requested_at| self.last_frame_at < requested_at) {
             self.reusable = false;
         }
         if self.abandoned.len() == max_abandoned {
@@ -340,9 +341,9 @@
         Some(sent.attempt)
     }
 
-    /// Notes a response to a shard request that is not in flight; one that was not abandoned here either rules out reuse.
-    /// Returns whether the response may be ignored: it may if the connection can still be reused, or if it repeats the
-    /// last response.
+    /// Notes a response to a shard request that is not in flight; one that was not abandoned here either rules out
+    /// reuse. Returns whether the response may be ignored: it may if the connection can still be reused, or if it
+    /// repeats the last response.
     pub fn ignore_late_response(&mut self, request_id: &str) -> bool {
         let abandoned = self.abandoned.iter().position(|known| **known == *request_id);
         if abandoned.and_then(|index| self.abandoned.remove(index)).is_none() {
--- a/crates/query-router/src/router/context.rs
+++ b/crates/query-router/src/router/context.rs
@@ -1,5 +1,5 @@
-//! What all components of the router share: the time, the effects asked for, counters, timers, connections and
-//! endpoints. Opens and closes connections within the limit on descriptors.
+//! The state that all components of the router share: the time, the effects asked for, counters, timers, connections
+//! and endpoints. Opens and closes connections within the limit on descriptors.
 
 use crate::config::Config;
 use crate::counters::Counters;
@@ -11,23 +11,25 @@
 use crate::router::timers::{Timer, Timers};
 use balancer::{Micros, NodeId};
 
-/// Descriptors that are not connections: standard ones, the listener, the loop's own, one just accepted.
+/// File descriptors that are not connections: the standard streams, the listener, those of the event loop, and one that
+/// was accepted and has no id yet.
 const OTHER_DESCRIPTORS: usize = 16;
-/// How many connections may be closing at a time, so that new ones in their place stay within the limit.
+/// The most client connections that may be closing at a time, so that new ones in their place stay within the limit on
+/// descriptors.
 const MAX_CLOSING: usize = OTHER_DESCRIPTORS / 2;
 
 /// Limits that the configuration states.
 #[derive(Debug)]
 pub struct Limits {
-    /// Connections of all kinds.
+    /// The most connections of all kinds.
     pub max_connections: usize,
-    /// Shard requests queued or in flight on one node connection.
+    /// The most shard requests queued or in flight on one node connection.
     pub max_requests_per_connection: usize,
     /// How long a connection may take to be established, and a frame to come in.
     pub connect_timeout: Micros,
     /// After how long an idle node connection is closed.
     pub idle_timeout: Micros,
-    /// The time between two decisions of the balancer.
+    /// The shortest time between two decisions of the balancer.
     pub decision_interval: Micros,
 }
 
@@ -46,13 +48,13 @@
     }
 }
 
-/// What all components share.
+/// The shared state.
 pub struct Context {
     /// The time of the current event.
     pub now: Micros,
-    /// What the event loop is asked to do, in order.
+    /// The effects that the event loop is to carry out, in order.
     pub effects: Vec<Effect>,
-    /// The counters.
+    /// The counters since the start.
     pub counters: Counters,
     /// All timers.
     pub timers: Timers,
@@ -91,7 +93,8 @@
         }
     }
 
-    /// Adds a connection if the limit allows one more; the one that has been idle for longest makes room for it.
+    /// Adds a connection if the limit allows one more. At the limit it closes the connection that has been idle for
+    /// longest.
     pub fn open(&mut self, connection: Connection) -> Option<ConnectionId> {
         let max_connections = self.limits.max_connections;
         if self.connections.len() >= max_connections {
@@ -116,20 +119,21 @@
         true
     }
 
-    /// Closes an idle client connection. Guards against a request that has come in and was not read yet.
+    /// Closes an idle client connection. Guards against losing a request that was received and not read yet: the event
+    /// loop closes the connection only if there is none.
     pub fn evict_client(&mut self, id: ConnectionId) {
         self.counters.client_connections_evicted += 1;
         self.connections.client(id).state = ClientState::ClosingIfIdle;
         self.effects.push(Effect::CloseIfIdle(id));
     }
 
-    /// Closes a node connection that has nothing to do.
+    /// Closes an idle node connection.
     pub fn close_idle_node(&mut self, id: ConnectionId) {
         self.counters.node_connections_closed_idle += 1;
         self.close_node(id);
     }
 
-    /// Closes all connections to a node that have nothing to do.
+    /// Closes all idle connections to a node.
     pub fn close_idle_nodes(&mut self, node: NodeId) {
         for id in self.endpoints[node].connections.clone() {
             if self.connections.node(id).idle_since().is_some() {
--- a/crates/query-router/src/router/discovery/backoff.rs
+++ b/crates/query-router/src/router/discovery/backoff.rs
@@ -6,14 +6,14 @@
 use crate::router::timers::Timer;
 use balancer::Micros;
 
-/// When a watch that failed is started again, where the router sees to that itself.
+/// When a watch that failed is started again, where lists are pushed.
 pub struct WatchBackoff {
     /// When the next watch starts.
     retry_at: Option<Micros>,
     /// The longest delay after the next failure.
     delay: Micros,
-    /// The longest delay after a first failure. Later ones take twice as long and no more: what discovery has to say
-    /// when it is back is heard at once.
+    /// The longest delay after a first failure. Later ones take at most twice as long, so that updates arrive soon
+    /// after discovery has recovered.
     first_delay: Micros,
     rng: fastrand::Rng,
 }
@@ -40,14 +40,14 @@
         context.timers.insert(at, Timer::StartWatch);
     }
 
-    /// No watch is to be started any more.
+    /// Removes the time of the next watch.
     pub fn cancel(&mut self, context: &mut Context) {
         if let Some(at) = self.retry_at.take() {
             context.timers.remove(at, Timer::StartWatch);
         }
     }
 
-    /// A watch is well: the next failure counts as the first.
+    /// Notes that a watch works: the next failure counts as the first.
     pub fn reset(&mut self) {
         self.delay = self.first_delay;
     }
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -16,7 +16,7 @@
 use settings_schema::EndpointEntry;
 use std::net::SocketAddr;
 
-/// After how long without a message a request counts as silent.
+/// The time without a message after which a request counts as silent.
 const SILENCE_TIMEOUT: Micros = 2 * HEARTBEAT_INTERVAL;
 
 /// How the platform notifies of changes.
@@ -28,14 +28,14 @@
     Pushed,
 }
 
-/// What a connection to discovery that has ended or fallen silent means.
+/// The consequence of a connection to discovery that has ended or received nothing for too long.
 #[derive(Debug)]
 pub enum RequestEnd {
     /// A poll brought a list.
     List(EndpointList),
-    /// A watch that was well fell silent and has been started again.
+    /// A watch that worked received nothing for too long and has been started again.
     WatchRestarted,
-    /// It has failed; the balancer is to be told.
+    /// The request has failed, which is to be reported to the balancer.
     Failed,
 }
 
@@ -49,12 +49,12 @@
     backoff: WatchBackoff,
     /// The names of the zones, by index.
     zones: Vec<String>,
-    /// How many requests failed for want of a connection, which the balancer has not been told of.
+    /// How many requests failed because no connection could be opened and were not reported to the balancer yet.
     unreported_failures: usize,
 }
 
 impl Discovery {
-    /// As the configuration says.
+    /// Requests to the discovery of this configuration; none is sent yet.
     pub fn new(config: &Config) -> Discovery {
         let polled = config.settings.text("discovery.mode") == "polled";
         Discovery {
@@ -81,7 +81,7 @@
         self.watch = self.request(context, RequestKind::Watch);
     }
 
-    /// Ends the watch. Guards against a retry that was set for a watch before the next one, and would end that.
+    /// Ends the watch. Guards against a retry that was scheduled for an earlier watch and would replace the next one.
     pub fn stop_watch(&mut self, context: &mut Context) {
         if let Some(id) = self.watch.take() {
             context.close(id);
@@ -108,18 +108,18 @@
         Some(id)
     }
 
-    /// Whether there are failures that the balancer has not been told of.
+    /// Whether there are failures that were not reported to the balancer yet.
     pub fn has_unreported_failures(&self) -> bool {
         self.unreported_failures > 0
     }
 
-    /// Takes the number of failures that the balancer has not been told of.
+    /// Takes the number of failures that were not reported to the balancer yet.
     pub fn take_unreported_failures(&mut self) -> usize {
         std::mem::take(&mut self.unreported_failures)
     }
 
-    /// Moves to another address: what is in progress at the old one starts again there, so that no late answer of the
-    /// old one overwrites the new one's. Revisions of the one mean nothing to the other.
+    /// Changes the address. Requests in progress are closed and sent again to the new address, so that no late answer
+    /// from the old one overwrites a newer list. Revisions of the two addresses are not comparable.
     pub fn move_to(&mut self, context: &mut Context, address: SocketAddr) {
         if address == self.address {
             return;
@@ -147,15 +147,15 @@
         context.effects.push(Effect::Write { connection: id, buffers: vec![head.into_bytes().into()] });
     }
 
-    /// Reads on in a response: how many bytes were consumed and whether the body is complete.
+    /// Reads further bytes of a response. Returns how many were consumed and whether the body is complete.
     pub fn read(
         &self, context: &mut Context, id: ConnectionId, bytes: &[u8],
     ) -> Result<(usize, BodyProgress), DiscoveryError> {
         context.connections.discovery(id).read(bytes)
     }
 
-    /// The next update that a watch has sent in full. The first message says that discovery is well, so even a blank
-    /// line counts as an update then.
+    /// The next update that a watch has sent in full. The first message proves that discovery works, so even a blank
+    /// line counts as an empty update then.
     pub fn next_update(
         &mut self, context: &mut Context, id: ConnectionId,
     ) -> Result<Option<EndpointList>, DiscoveryError> {
@@ -177,7 +177,7 @@
                 WatchMessage::Update(text) => text,
             };
             let (list, revision) = parse_update(&text)?;
-            // Guards against an update that was overtaken on its way undoing a drain.
+            // Guards against a delayed update that undoes a drain.
             let newest = request.revision;
             if revision < newest {
                 context.counters.endpoint_lists_stale += 1;
@@ -190,8 +190,8 @@
         Ok(None)
     }
 
-    /// Everything received was read. Guards against an object that was cut off, behind which a watch says nothing
-    /// that can be read: bytes that make no line and no object do not count as messages, however often they come.
+    /// Notes that all received bytes were read. Guards against a truncated object, behind which nothing on a watch can
+    /// be parsed: bytes that complete neither a line nor an object do not count as messages.
     pub fn finish_reading(
         &self, context: &mut Context, id: ConnectionId, consumed: usize, progress: BodyProgress,
     ) {
@@ -201,12 +201,12 @@
         context.set_connection_timer(id, Some(no_progress_since + SILENCE_TIMEOUT));
     }
 
-    /// Discovery has closed the connection in order; its end follows.
+    /// Notes that discovery has closed the connection in order; the end of the connection follows.
     pub fn closed_by_peer(&self, context: &mut Context, id: ConnectionId) {
         context.connections.discovery(id).closed_by_peer();
     }
 
-    /// A request has ended, or nothing more is to be expected of it.
+    /// Handles the end of a connection, or of a response after which nothing more comes.
     pub fn ended(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
         match context.connections.discovery(id).polled_list() {
             Some(Ok(list)) => RequestEnd::List(list),
@@ -215,15 +215,15 @@
         }
     }
 
-    /// A response cannot be used.
+    /// Handles a response that cannot be used.
     pub fn invalid(&mut self, context: &mut Context, id: ConnectionId, error: &DiscoveryError) -> RequestEnd {
         context.counters.endpoint_lists_invalid += 1;
         tracing::warn!(%error, "discovery response rejected");
         self.failed(context, id)
     }
 
-    /// Nothing was received for too long. A watch that was well is started again at once, and the balancer only hears
-    /// of it if that fails: what a silent one misses counts as known soon after.
+    /// Handles a request on which nothing was received for too long. A watch that worked is started again at once, and
+    /// the balancer gets a report only if that fails: the updates that a silent watch missed arrive soon after.
     pub fn silent(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
         if self.watch != Some(id) || !context.connections.discovery(id).answered {
             return self.failed(context, id);
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the balancer's attempts to batches on connections, and how attempts are cancelled.
+//! Dispatch of the balancer's attempts: they are grouped into batches, assigned to connections, and cancelled.
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
@@ -15,7 +15,7 @@
     attempts: Vec<AttemptId>,
 }
 
-/// The batches that no connection has taken yet.
+/// Dispatches attempts to connections, in batches.
 pub struct Dispatcher {
     /// The batches of the current decision, and those for which no connection could be opened.
     waiting: Vec<Batch>,
@@ -24,7 +24,7 @@
 }
 
 impl Dispatcher {
-    /// As the configuration says.
+    /// A dispatcher with the batch size and the health checks of this configuration.
     pub fn new(config: &Config) -> Dispatcher {
         let load_by_health_checks = config.settings.text("load_report.transport") == "health_checks";
         Dispatcher {
@@ -73,8 +73,7 @@
         }
     }
 
-    /// Queues a batch on a connection. Where no connection can be had the batch waits until one can: that says
-    /// nothing of the node.
+    /// Queues a batch on a connection. If none can be opened the batch waits, which is no failure of the node.
     fn assign(
         &mut self, context: &mut Context, queries: &mut QueryTable, batch: Batch,
     ) -> Option<ConnectionId> {
@@ -93,9 +92,9 @@
         connection
     }
 
-    /// Cancels what is not known to be written in full of a query that has ended. Guards against sending what nobody
-    /// waits for: on a connection that is established late, once a connection can be opened, or behind what a node
-    /// does not read.
+    /// Cancels the attempts of an ended query that are not known to be written in full. Guards against sending shard
+    /// requests that nobody waits for: on a connection that is established late, once a connection can be opened, or
+    /// behind bytes that a node does not read.
     pub fn cancel_unwritten(&mut self, context: &mut Context, queries: &mut QueryTable, query: QueryId) {
         let Some(entry) = queries.query(query) else { return };
         let unwritten: Vec<AttemptId> = entry
@@ -123,14 +122,14 @@
             return queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent);
         };
         let request = queries.shard_request(attempt.shard_request);
-        // Its response is overdue if another attempt was answered first, or after the connect timeout.
-        let is_overdue =
+        // Its response should have come if another attempt was answered first, or after the connect timeout.
+        let should_be_answered =
             request.value.is_some() || context.now - requested_at >= context.limits.connect_timeout;
         let cancelled = context.connections.node(connection).cancel(
             attempt,
             &request.id,
             context.limits.max_requests_per_connection,
-            is_overdue.then_some(requested_at),
+            should_be_answered.then_some(requested_at),
         );
         match cancelled {
             Cancelled::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
@@ -143,8 +142,8 @@
         }
     }
 
-    /// Removes an attempt that no connection has taken. Guards against one whose query is released, and whose id is
-    /// another's by the time a connection can be opened.
+    /// Removes an attempt from the waiting batches. Guards against sending an attempt whose query was released and
+    /// whose id belongs to another query by the time a connection can be opened.
     fn remove_waiting(&mut self, attempt: AttemptId) {
         self.waiting.retain_mut(|batch| {
             batch.attempts.retain(|&waiting| waiting != attempt);
@@ -152,9 +151,9 @@
         });
     }
 
-    /// Applies what an endpoint update says to the connections of a node. Guards against connections to a process
-    /// that has ended: a machine that vanished leaves them silent, and what is sent on one is lost. At a node that
-    /// accepts nothing new, or is not at this address any more, what has not begun to be written is cancelled.
+    /// Applies an endpoint update to the connections of a node. Guards against connections to a process that has ended:
+    /// a machine that vanished does not close them, and what is sent on one is lost. Queued attempts are cancelled if
+    /// the node is not ready or has another address.
     pub fn apply_endpoint(&mut self, context: &mut Context, queries: &mut QueryTable, node: NodeId) {
         let endpoint = context.endpoints[node].clone();
         if !endpoint.ready {
@@ -181,7 +180,7 @@
         }
     }
 
-    /// Cancels the attempts for a node that no connection has taken yet.
+    /// Cancels the attempts for a node in waiting batches.
     fn cancel_waiting(&mut self, context: &mut Context, queries: &mut QueryTable, node: NodeId) {
         let batches = self.waiting.iter().filter(|batch| batch.node == node);
         let attempts: Vec<AttemptId> = batches.flat_map(|batch| batch.attempts.iter().copied()).collect();
--- a/crates/query-router/src/router/endpoints.rs
+++ b/crates/query-router/src/router/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that discovery has named: their addresses and states, and the connections to each.
+//! The endpoints that discovery has listed: their addresses and states, and the connections to each.
 
 use crate::io::ConnectionId;
 use balancer::{EndpointState, Micros, NodeId};
@@ -11,15 +11,15 @@
 pub struct EndpointRecord {
     /// Where it listens, if the address could be parsed.
     pub address: Option<SocketAddr>,
-    /// Whether it may be sent anything new.
+    /// Whether new attempts may be sent to it.
     pub ready: bool,
     /// When its process started, according to discovery.
     pub started_at: Micros,
-    /// The number of the last update that named it.
+    /// The number of the last update that listed it.
     last_update: u64,
-    /// The balancer does not refer to it any more: its id is free once no connection is left.
+    /// Whether the balancer has released it: its id becomes free once no connection is left.
     released: bool,
-    /// A malformed frame of its was logged.
+    /// Whether a malformed frame on one of its connections was logged.
     pub malformed_frame_logged: bool,
     /// The connections to it.
     pub connections: Vec<ConnectionId>,
@@ -34,7 +34,7 @@
 }
 
 impl Endpoints {
-    /// An update of the list begins.
+    /// Begins an update of the list.
     pub fn start_update(&mut self) {
         self.updates += 1;
     }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// How many places there are for nodes, free ones included.
+    /// The number of records, those of free ids included.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -71,7 +71,7 @@
         self.records.iter().filter(|record| record.ready).count()
     }
 
-    /// The balancer does not refer to this node any more.
+    /// Notes that the balancer does not refer to this node any more.
     pub fn release(&mut self, node: NodeId) {
         self[node].released = true;
     }
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -1,10 +1,10 @@
-//! The router's state machine: every change of state goes through [`Router::step`] and [`Router::decide`]. It is given
-//! plain values and the time, and asks for effects; it touches no socket and no clock.
+//! The router's state machine: every change of state goes through [`Router::step`] and [`Router::decide`]. Both take
+//! plain values and the time, and queue effects; neither touches a socket or a clock.
 //!
-//! This module routes events to the components and their results to the balancer; the components know neither the
-//! balancer nor each other, but for those below them. From the bottom: `timers`, `shutdown`, `endpoints` and
-//! `connection` (states alone); `context` (what all share); `query_table`; `node_connections`; `dispatch`, `clients` and
-//! `discovery`; `state` (the components together, as the balancer acts on them).
+//! This module routes events to the components and their results to the balancer. A component uses neither the balancer
+//! nor any component above it. From the bottom: `timers`, `shutdown`, `endpoints` and `connection` (states alone);
+//! `context` (the state that all share); `query_table`; `node_connections`; `dispatch`, `clients` and `discovery`;
+//! `state` (the components together, as the balancer acts on them).
 
 mod clients;
 mod connection;
@@ -42,10 +42,10 @@
 pub struct Router {
     balancer: Balancer,
     state: State,
-    /// Whether the balancer was told something since its last decision.
+    /// Whether something was reported to the balancer since its last decision.
     decision_due: bool,
     last_decision_at: Micros,
-    /// When the event loop was asked to report that time has passed.
+    /// The time of the last [`Effect::WakeAt`].
     wake_at: Option<Micros>,
 }
 
@@ -65,12 +65,12 @@
         router
     }
 
-    /// Takes what the event loop is asked to do, in order.
+    /// Takes the effects that the event loop is to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.state.context.effects)
     }
 
-    /// The counters.
+    /// The counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.state.context.counters
     }
@@ -96,8 +96,8 @@
         self.update_wake();
     }
 
-    /// Once an event-loop iteration, after all its events: tells the balancer what is left to tell and lets it decide,
-    /// at most once in the decision interval.
+    /// Called once in an event-loop iteration, after all its events. Reports to the balancer what was not reported at
+    /// once, and lets the balancer decide, at most once in a decision interval.
     pub fn decide(&mut self, now: Micros) {
         self.state.context.now = now;
         for _ in 0..self.state.discovery.take_unreported_failures() {
@@ -107,8 +107,8 @@
         for finished in self.state.queries.take_pending_outcomes() {
             self.report_attempt(&finished, &[]);
         }
-        // Guards against deciding on half of what one instant brings: asked for each event alone, the balancer sent
-        // several times the hedged attempts, which kept nodes full that had only just enough capacity.
+        // Guards against deciding after each event: the balancer then sent several times as many hedged attempts, which
+        // overloaded nodes with just enough capacity.
         let interval_is_over = now >= self.last_decision_at + self.state.context.limits.decision_interval;
         if interval_is_over && std::mem::take(&mut self.decision_due) {
             self.last_decision_at = now;
@@ -130,7 +130,7 @@
         context.shutdown.closes_idle() && context.connections.clients().next().is_none()
     }
 
-    /// Asks to be woken for the first timer, and for the next decision if one is due.
+    /// Asks for [`Event::TimerExpired`] at the time of the first timer, or of the next decision if one is needed.
     fn update_wake(&mut self) {
         let State { context, queries, discovery, .. } = &mut self.state;
         let decision_due =
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Tells the balancer of a query and its shard requests.
+    /// Reports a query and its shard requests to the balancer.
     fn report_query(&mut self, accepted: AcceptedQuery) {
         let AcceptedQuery { arrival, shards } = accepted;
         let now = self.state.context.now;
@@ -266,7 +266,7 @@
         self.decision_due = true;
     }
 
-    /// A client has disconnected: nobody waits for its query any more.
+    /// Handles the disconnect of a client, whose query needs no answer any more.
     fn client_ended(&mut self, id: ConnectionId) {
         let State { context, queries, clients, dispatcher, .. } = &mut self.state;
         if let Some(query) = clients.awaited_query(context, id) {
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Tells the balancer what happened on a node connection.
+    /// Reports to the balancer what happened on a node connection.
     fn report(&mut self, report: NodeReport) {
         match report {
             NodeReport::Attempt { finished, load } => self.report_attempt(&finished, &load),
@@ -324,7 +324,7 @@
         self.decision_due = true;
     }
 
-    /// Reads a response of discovery and applies each update as soon as it has come in.
+    /// Reads a response of discovery and applies each update as soon as it is complete.
     fn discovery_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let State { context, discovery, .. } = &mut self.state;
         let (consumed, progress) = match discovery.read(context, id, bytes) {
@@ -371,7 +371,7 @@
         self.decision_due = true;
     }
 
-    /// Applies an endpoint list, and tells the balancer of it entry by entry.
+    /// Applies an endpoint list and reports it to the balancer entry by entry.
     fn apply_endpoint_list(&mut self, list: &EndpointList) {
         let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
         let now = context.now;
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -8,7 +8,7 @@
 use crate::router::timers::Timer;
 use balancer::{AttemptId, AttemptOutcome, LoadMetric, Micros, NodeId};
 
-/// What an event on a node connection tells the balancer.
+/// An event on a node connection that is reported to the balancer.
 #[derive(Debug)]
 pub enum NodeReport<'a> {
     /// An attempt has ended.
@@ -50,7 +50,8 @@
     Some(id)
 }
 
-/// Sets the timer by which a connection must be established, complete the frame that has begun, or is closed as idle.
+/// Sets the timer of a connection: the time by which it must be established or complete a partial frame, or at which it
+/// is closed as idle.
 pub fn set_timer(context: &mut Context, id: ConnectionId) {
     let (connect_timeout, idle_timeout) = (context.limits.connect_timeout, context.limits.idle_timeout);
     let connection = context.connections.node(id);
@@ -62,7 +63,7 @@
     context.set_connection_timer(id, at);
 }
 
-/// Keeps a connection with nothing to do until its idle timeout; closes one that cannot be reused at once.
+/// Keeps an idle connection until its idle timeout, or closes it at once if it cannot be reused.
 pub fn close_or_keep_idle(context: &mut Context, id: ConnectionId) {
     let now = context.now;
     let connection = context.connections.node(id);
@@ -75,8 +76,8 @@
     set_timer(context, id);
 }
 
-/// A connection has ended with so many bytes written. What was not written in full was not executed; of the rest
-/// nothing is known.
+/// Handles the end of a connection on which `bytes_written` bytes were written. Attempts that were not written in full
+/// were not executed; whether the others were is unknown.
 pub fn ended(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes_written: u64,
 ) -> Vec<NodeReport<'static>> {
@@ -85,8 +86,7 @@
     let cause = connection.close_cause();
     let queued: Vec<AttemptId> = connection.queued_attempts().collect();
     let in_flight = connection.take_in_flight();
-    // One that was established and ends before a frame is written says nothing of whether its node can be
-    // reached.
+    // An established connection that ends before a frame is written does not prove that its node is unreachable.
     let (not_written, check_outcome) = if was_established {
         (AttemptOutcome::NotSent, AttemptOutcome::ConnectionLost)
     } else {
@@ -119,7 +119,7 @@
     }
 }
 
-/// The oldest unanswered health check of a connection has ended; `None` if there is none.
+/// Ends the oldest unanswered health check of a connection; `None` if there is none.
 pub fn finish_health_check<'a>(
     context: &mut Context, id: ConnectionId, outcome: AttemptOutcome, load: Vec<LoadMetric<'a>>,
 ) -> Option<NodeReport<'a>> {
@@ -131,9 +131,9 @@
     Some(NodeReport::HealthCheck { finished: FinishedHealthCheck { node, outcome, latency }, load })
 }
 
-/// Closes a connection on which something came in that cannot be used, or did not come to its end. Guards against
-/// taking good nodes for crashed ones: responses are damaged on the way too. The balancer is told of one attempt,
-/// the one `named` or else the oldest; the others in flight here are cancelled by the close.
+/// Closes a connection on which a frame was malformed or stayed incomplete. Guards against taking nodes for crashed if
+/// a response was damaged on its way: one attempt counts as malformed, the one `named` in the frame or else the oldest
+/// in flight, and the close cancels the others.
 pub fn close_malformed(context: &mut Context, id: ConnectionId, named: Option<AttemptId>) {
     match context.connections.node(id).set_malformed(named) {
         None => context.counters.frames_unexpected += 1,
@@ -142,7 +142,7 @@
     context.effects.push(Effect::Abort(id));
 }
 
-/// Counts a frame that a data node or this router could not read; logged once for each node.
+/// Counts a frame that a data node or this router could not parse. It is logged once for each node.
 pub fn note_malformed_frame(context: &mut Context, id: ConnectionId, reason: &str) {
     context.counters.frames_malformed += 1;
     let node = context.connections.node(id).node;
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to data nodes: which one a batch goes on, what is written and read on them, when they are closed.
+//! Connections to data nodes: how one is selected for a batch, what is written and read on them, when they are closed.
 
 mod lifecycle;
 mod receive;
@@ -18,21 +18,21 @@
 use balancer::{AttemptOutcome, NodeId};
 use lifecycle::{close_malformed, finish_health_check};
 
-/// A connection is established.
+/// Handles a connection that was established.
 pub fn established(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     context.connections.node(id).set_established(context.now);
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
 
-/// Everything handed to the event loop is written.
+/// Handles that everything handed to the event loop is written.
 pub fn flushed(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     context.connections.node(id).set_flushed();
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
 
-/// Sends a health check, if a connection can be had.
+/// Sends a health check if there is a connection to the node or one can be opened.
 pub fn check_health(context: &mut Context, queries: &mut QueryTable, node: NodeId, kind: HealthCheckKind) {
     let Some(id) = connection_for(context, queries, node, &[]) else { return };
     let deadline = context.now + context.limits.connect_timeout;
@@ -41,16 +41,16 @@
     write(context, queries, id);
 }
 
-/// A health check was not answered in time; the connection is closed so that a late answer is not taken for
-/// another's.
+/// Handles a health check that was not answered in time. The connection is closed so that a late answer is not taken
+/// for that of a later health check.
 pub fn health_check_timed_out(context: &mut Context, id: ConnectionId) -> Option<NodeReport<'static>> {
     let report = finish_health_check(context, id, AttemptOutcome::TimedOut, Vec::new());
     context.effects.push(Effect::Abort(id));
     report
 }
 
-/// A connection's timer has expired: it was not established in time, a frame did not come in to its end, or it
-/// has been idle for long enough.
+/// Handles the timer of a connection, which was not established in time, did not receive a frame in full in time, or
+/// has reached the idle timeout.
 pub fn timer_expired(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId,
 ) -> Vec<NodeReport<'static>> {
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -1,4 +1,4 @@
-//! Frames that data nodes send.
+//! Handling of the frames that data nodes send.
 
 use super::lifecycle::{
     NodeReport, close_malformed, close_or_keep_idle, finish_health_check, note_malformed_frame,
@@ -10,18 +10,18 @@
 use balancer::{AttemptOutcome, LoadMetric};
 use settings_schema::parse_load_metrics;
 
-/// What a frame means.
+/// The result of handling a frame.
 enum Received<'a> {
-    /// Something for the balancer.
+    /// It is to be reported to the balancer.
     Report(NodeReport<'a>),
-    /// Nothing for the balancer.
+    /// The balancer needs no report.
     Handled,
     /// It cannot be used.
     Malformed,
 }
 
-/// Reads what a node has sent, from `offset` on, to the first frame that means something for the balancer. `None`
-/// means that everything was read, or that the connection is about to be closed.
+/// Reads the bytes that a node has sent, from `offset` on, up to the first frame that is to be reported to the
+/// balancer. `None` means that all frames were read, or that the connection is about to be closed.
 pub fn next_report<'a>(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &'a [u8], offset: &mut usize,
 ) -> Option<NodeReport<'a>> {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Notes the frame that has begun to come in, and what was consumed before it.
+/// Consumes the frames that were read, and notes the one of which `rest` is the start.
 fn finish_reading(context: &mut Context, id: ConnectionId, rest: &[u8], consumed: usize) {
     context.connections.node(id).note_received(context.now, consumed, rest);
     context.effects.push(Effect::Consume { connection: id, count: consumed });
@@ -67,7 +67,7 @@
         FrameKind::Response => receive_response(context, queries, id, content),
         FrameKind::Health | FrameKind::Load => receive_health(context, id, content),
         FrameKind::NotUnderstood => {
-            // The node is about to close the connection: what is not sent yet goes elsewhere.
+            // The node is about to close the connection: queued batches are sent on others.
             note_malformed_frame(context, id, &String::from_utf8_lossy(content));
             context.connections.node(id).forbid_reuse();
             context.effects.push(Effect::Abort(id));
@@ -77,7 +77,7 @@
     }
 }
 
-/// A response to a shard request.
+/// Handles a response to a shard request.
 fn receive_response<'a>(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, content: &'a [u8],
 ) -> Received<'a> {
@@ -96,15 +96,15 @@
     }
 }
 
-/// Counts a response to a shard request that is not in flight on the connection. It is malformed if the connection cannot
-/// be reused by now, unless it repeats the last response.
+/// Counts a response to a shard request that is not in flight on the connection. It is malformed if the connection
+/// cannot be reused by now, unless it repeats the last response.
 fn receive_late_response<'a>(context: &mut Context, id: ConnectionId, request_id: &str) -> Received<'a> {
     context.counters.responses_late += 1;
     let ignored = context.connections.node(id).ignore_late_response(request_id);
     if ignored { Received::Handled } else { Received::Malformed }
 }
 
-/// The answer to a health check, with the node's load or a plain word.
+/// Handles the answer to a health check, which states the node's load, `OK`, `ERROR` or `-`.
 fn receive_health<'a>(context: &mut Context, id: ConnectionId, content: &'a [u8]) -> Received<'a> {
     let Ok(text) = std::str::from_utf8(content) else { return Received::Malformed };
     let outcome = if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -1,4 +1,4 @@
-//! Which connection to a node a batch goes on.
+//! Selection of the connection to a node for a batch.
 
 use super::lifecycle::open;
 use crate::io::ConnectionId;
@@ -8,18 +8,18 @@
 use balancer::{AttemptId, Micros, NodeId};
 use std::rc::Rc;
 
-/// How well a connection suits an attempt; the smaller, the better.
+/// How suitable a connection is for an attempt; smaller values are better.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Suitability {
     /// It has been idle for a decision interval at least.
     Idle,
-    /// It became idle recently: its node may close it right behind its last response.
+    /// It became idle recently: the node may close it right behind its last response.
     JustIdle,
     /// Something is queued or in flight on it.
     Busy,
 }
 
-/// A connection that an attempt could go on.
+/// A connection that could carry an attempt. Candidates are ordered by preference, field by field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     suitability: Suitability,
@@ -29,11 +29,12 @@
     connection: ConnectionId,
 }
 
-/// A connection for shard requests with these ids: one that is idle for a decision interval at least, since its
-/// node may close it right behind a response, the longest idle first; else a new one; else one with capacity.
-/// Guards against what befalls a connection befalling everything in flight on it: batches share one only where a
-/// node's share of the connections is used up. Responses carry no attempt number, so no shard request is sent
-/// twice on one connection.
+/// Selects a connection for shard requests with these ids. The first choice is one that has been idle for at least a
+/// decision interval, the longest idle first, since a node may close a connection right behind a response. The second
+/// is a new one, the third one that has capacity.
+///
+/// Guards against losing many batches with one connection: batches share one only if the node's share of all
+/// connections is used up. Responses carry no attempt number, so no shard request is sent twice on one connection.
 pub fn connection_for(
     context: &mut Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
 ) -> Option<ConnectionId> {
@@ -63,9 +64,9 @@
     context.connections.node(id).queue_batch(attempts);
 }
 
-/// Moves batches that wait for a connection to be established to one that has become idle meanwhile; returns the
-/// connections that they are queued on now. Guards against connections that come up late holding up what a
-/// sound one could carry, until the batch counts as never sent.
+/// Moves batches that wait for a connection to be established to one that has become idle meanwhile. Returns the
+/// connections on which they are queued now. Guards against batches that time out on a connection which is not
+/// established, although another could carry them.
 pub fn reassign_batches(context: &mut Context, queries: &mut QueryTable) -> Vec<ConnectionId> {
     let waiting: Vec<(ConnectionId, NodeId)> = context
         .connections
@@ -83,7 +84,7 @@
     receivers
 }
 
-/// Moves the first batch queued on a connection, if an idle one suits it.
+/// Moves the first batch queued on a connection to an idle one, if there is one that may carry it.
 fn reassign_batch(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, node: NodeId,
 ) -> Option<ConnectionId> {
@@ -98,7 +99,7 @@
     Some(candidate.connection)
 }
 
-/// The existing connection that suits shard requests with these ids best.
+/// The most suitable existing connection for shard requests with these ids.
 fn best_connection(
     context: &Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
 ) -> Option<Candidate> {
@@ -112,13 +113,13 @@
 /// Whether shard requests with these ids may be sent on a connection.
 fn can_carry(context: &Context, queries: &QueryTable, connection: &NodeConnection, ids: &[Rc<str>]) -> bool {
     let idle_since = connection.idle_since();
-    // Guards against a response that comes behind a frame of which only half has come.
-    let half_a_frame_came = idle_since.is_some() && connection.partial_frame().is_some();
+    // Guards against a response that arrives behind an incomplete frame.
+    let has_stray_partial_frame = idle_since.is_some() && connection.partial_frame().is_some();
     let is_queued = |id: &Rc<str>| {
         connection.queued_attempts().any(|attempt| queries.shard_request(attempt.shard_request).id == *id)
     };
     let carries = |id: &Rc<str>| connection.may_answer(id) || is_queued(id);
-    !half_a_frame_came
+    !has_stray_partial_frame
         && context.endpoints[connection.node].address == Some(connection.address)
         && connection.is_reusable()
         && idle_since.is_none_or(|since| context.now - since < context.limits.idle_timeout)
--- a/crates/query-router/src/router/node_connections/write.rs
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -1,4 +1,4 @@
-//! What is written on node connections.
+//! Writing of queued frames on node connections.
 
 use super::lifecycle::set_timer;
 use crate::io::{Bytes, ConnectionId, Effect, ExpectedInput};
@@ -9,7 +9,7 @@
 use balancer::{AttemptId, AttemptOutcome, Micros};
 use std::rc::Rc;
 
-/// Hands what is queued for a connection to the event loop, once everything before it is written.
+/// Hands the queued frames of a connection to the event loop, unless earlier ones are still being written.
 pub fn write(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let Some(connection) = context.connections.as_node(id) else { return };
     if !connection.is_established() || !connection.is_flushed() || connection.is_queue_empty() {
@@ -20,7 +20,7 @@
     if connection.is_queue_empty() {
         return;
     }
-    // Guards against a batch that is sent behind a node's last frame, or behind half of one.
+    // Guards against sending a batch after the node has announced that it closes, or behind an incomplete frame.
     let carries_attempts = connection.queued_attempts().next().is_some();
     let expected = if carries_attempts && !connection.awaits_response() {
         ExpectedInput::Nothing
@@ -35,7 +35,7 @@
     set_timer(context, id);
 }
 
-/// Appends a frame to what is written; its attempts are in flight from now on.
+/// Appends the encoded frame to `buffers`. Its attempts are in flight from now on.
 fn encode(
     context: &mut Context, queries: &QueryTable, id: ConnectionId, frame: OutgoingFrame,
     buffers: &mut Vec<Bytes>,
@@ -74,8 +74,8 @@
     }
 }
 
-/// Cancels queued attempts whose time is over. Guards against sending what expires in this very iteration: sockets
-/// are read before timers expire.
+/// Cancels queued attempts whose deadline has passed. Guards against sending attempts that time out in the same
+/// iteration, since sockets are read before timers expire.
 fn cancel_expired(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let has_expired = |attempt: &AttemptId| {
         queries.attempt(*attempt).is_some_and(|attempt| attempt.deadline <= context.now)
--- a/crates/query-router/src/router/query_table.rs
+++ b/crates/query-router/src/router/query_table.rs
@@ -12,13 +12,13 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// A query.
+/// A query in progress.
 #[derive(Debug)]
 pub struct Query {
     id: Rc<str>,
-    /// Where the answer goes, until it was given or the client disconnected.
+    /// The client that waits for the answer; `None` once it was answered or has disconnected.
     client: Option<ConnectionId>,
-    /// When an answer is of no use any more.
+    /// The time by which the client needs the answer.
     pub deadline: Micros,
     /// What is sent to each shard.
     pub text: Bytes,
@@ -33,14 +33,14 @@
     }
 }
 
-/// A shard request.
+/// A shard request of a query in progress.
 #[derive(Debug)]
 pub struct ShardRequest {
     /// Its id on the wire.
     pub id: Rc<str>,
     /// The query that it belongs to.
     pub query: QueryId,
-    /// The shard.
+    /// The index of the shard.
     pub shard: usize,
     /// The value that a data node answered with.
     pub value: Option<String>,
@@ -48,7 +48,7 @@
     pub attempts: Vec<Attempt>,
 }
 
-/// An attempt.
+/// An attempt at a shard request.
 #[derive(Debug)]
 pub struct Attempt {
     /// The node that it is sent to.
@@ -57,7 +57,7 @@
     pub requested_at: Micros,
     /// When the router stops waiting for it.
     pub deadline: Micros,
-    /// The connection that it is queued for or was sent on.
+    /// The connection on which it is queued or was sent.
     pub connection: Option<ConnectionId>,
     /// Whether its outcome is known.
     pub finished: bool,
@@ -90,9 +90,9 @@
     pub(super) queries: Slab<Query>,
     pub(super) shard_requests: Slab<ShardRequest>,
     ids: HashSet<Rc<str>>,
-    /// How many queries are not answered, and their shard requests.
+    /// The number of unanswered queries plus the number of their shard requests.
     open: usize,
-    /// Outcomes that the balancer has not been told of, in order.
+    /// Outcomes that were not reported to the balancer yet, in order.
     pending_outcomes: Vec<FinishedAttempt>,
 }
 
@@ -102,7 +102,7 @@
         self.ids.contains(id)
     }
 
-    /// How many queries are not answered, and their shard requests.
+    /// The number of unanswered queries plus the number of their shard requests.
     pub fn open_count(&self) -> usize {
         self.open
     }
@@ -147,7 +147,7 @@
         self.queries.get(query.0)
     }
 
-    /// A shard request.
+    /// The shard request with this id, which must exist.
     pub fn shard_request(&self, request: ShardRequestId) -> &ShardRequest {
         &self.shard_requests[request.0]
     }
@@ -174,7 +174,7 @@
         attempts.iter().map(|attempt| self.shard_request(attempt.shard_request).id.clone()).collect()
     }
 
-    /// Notes the connection that an attempt is queued for.
+    /// Notes the connection on which an attempt is queued.
     pub fn set_connection(&mut self, attempt: AttemptId, connection: ConnectionId) {
         let entry = &mut self.shard_requests[attempt.shard_request.0];
         entry.attempts[attempt.number.0].connection = Some(connection);
@@ -200,7 +200,7 @@
         Some(FinishedAttempt { attempt, node: state.node, outcome, latency })
     }
 
-    /// Notes that an attempt has ended; the balancer is told before its next decision.
+    /// Notes that an attempt has ended, which is reported to the balancer before its next decision.
     pub fn finish_attempt_later(
         &mut self, context: &mut Context, attempt: AttemptId, outcome: AttemptOutcome,
     ) {
@@ -208,17 +208,18 @@
         self.pending_outcomes.extend(finished);
     }
 
-    /// Whether there are outcomes that the balancer has not been told of.
+    /// Whether there are outcomes that were not reported to the balancer yet.
     pub fn has_pending_outcomes(&self) -> bool {
         !self.pending_outcomes.is_empty()
     }
 
-    /// Takes the outcomes that the balancer has not been told of.
+    /// Takes the outcomes that were not reported to the balancer yet.
     pub fn take_pending_outcomes(&mut self) -> Vec<FinishedAttempt> {
         std::mem::take(&mut self.pending_outcomes)
     }
 
-    /// A query is answered or its client has disconnected; returns the client, if it was waiting until now.
+    /// Notes that a query is answered or that its client has disconnected. Returns the client, if it was waiting until
+    /// now.
     pub fn end_query(&mut self, query: QueryId) -> Option<ConnectionId> {
         let entry = self.queries.get_mut(query.0)?;
         let client = entry.client.take()?;
@@ -226,7 +227,7 @@
         Some(client)
     }
 
-    /// Removes a query that has ended: its ids may be used again.
+    /// Removes a query that has ended; its ids may be reused.
     pub fn release_query(&mut self, query: QueryId) {
         let Some(entry) = self.queries.try_remove(query.0) else { return };
         self.ids.remove(&entry.id);
--- a/crates/query-router/src/router/shutdown.rs
+++ b/crates/query-router/src/router/shutdown.rs
@@ -1,23 +1,23 @@
-//! Graceful shutdown: what SIGTERM begins. Clients that connect or send a request meanwhile are still served, then
-//! idle connections are closed, and whatever is not answered by the deadline is answered with an error.
+//! Graceful shutdown, which SIGTERM begins. Clients that connect or send a request meanwhile are still served, then
+//! idle connections are closed, and what is not answered by the deadline is answered with an error.
 
 use crate::router::timers::{Timer, Timers};
 use balancer::Micros;
 
-/// How long new connections may still come, since clients learn of the shutdown late; with the protocol's slack.
+/// For how long idle connections are kept, since clients notice the shutdown late; includes the protocol's slack.
 pub const ACCEPTING_FOR: Micros = 450_000;
-/// The process is killed this long after SIGTERM, plus the longest deadline.
+/// The platform kills the process this long after SIGTERM, plus the longest deadline of a service class.
 pub const KILLED_AFTER: Micros = 700_000;
-/// The most that the longest deadline counts for in that.
+/// The upper limit on the deadline that is added to [`KILLED_AFTER`].
 const MAX_DEADLINE_COUNTED: Micros = 3_000_000;
-/// How long before it is killed everything is answered, with twice the protocol's slack.
+/// How long before the kill everything is answered: twice the protocol's slack.
 const ANSWERED_BEFORE_KILL: Micros = 100_000;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 enum Phase {
     #[default]
     Running,
-    /// New connections and requests still come.
+    /// New connections and requests are still served.
     Draining,
     /// Connections without a request are closed.
     ClosingIdle,
@@ -45,12 +45,12 @@
         true
     }
 
-    /// Connections without a request are closed from now on.
+    /// Begins the phase in which connections without a request are closed.
     pub fn close_idle(&mut self) {
         self.phase = Phase::ClosingIdle;
     }
 
-    /// Whether the process was told to end.
+    /// Whether a graceful shutdown has begun.
     pub fn has_begun(&self) -> bool {
         self.phase >= Phase::Draining
     }
--- a/crates/query-router/src/router/state.rs
+++ b/crates/query-router/src/router/state.rs
@@ -1,4 +1,4 @@
-//! The components together, and what the balancer may ask of them.
+//! All components together, and the actions that the balancer may request of them.
 
 use crate::config::Config;
 use crate::counters::debug_invariant;
@@ -10,9 +10,9 @@
 use crate::router::timers::Timer;
 use balancer::{Actions, AttemptId, AttemptOutcome, Completion, Micros, NodeId, QueryId, ShardRequestId};
 
-/// All that the router holds but the balancer, which acts on it.
+/// The state of the router without the balancer, which acts on it.
 pub struct State {
-    /// What all components share.
+    /// The state that all components share.
     pub context: Context,
     /// The queries in progress.
     pub queries: QueryTable,
@@ -49,7 +49,7 @@
     fn complete_query(&mut self, query: QueryId, completion: Completion) {
         let State { context, queries, clients, dispatcher, .. } = self;
         let client = queries.end_query(query);
-        debug_invariant!(context.counters, client.is_some(), "one final answer");
+        debug_invariant!(context.counters, client.is_some(), "a query has one final answer");
         dispatcher.cancel_unwritten(context, queries, query);
         if let Some(id) = client {
             clients.answer(context, queries, id, query, completion);
--- a/crates/query-router/src/router/timers.rs
+++ b/crates/query-router/src/router/timers.rs
@@ -1,4 +1,4 @@
-//! The queue of timers: ordered by time and, at one time, by the order of the kinds below.
+//! The queue of timers, ordered by time; timers of the same time expire in the order of the variants of [`Timer`].
 
 use crate::io::ConnectionId;
 use balancer::{AttemptId, Micros};
@@ -9,9 +9,9 @@
 pub enum Timer {
     /// The balancer asked for it, with this token.
     Balancer(u64),
-    /// An attempt is not waited for any longer.
+    /// An attempt times out.
     AttemptTimeout(AttemptId),
-    /// The one timer of a connection: what it means depends on the state of the connection.
+    /// The only timer of a connection. Its meaning depends on the state of the connection.
     Connection(ConnectionId),
     /// A health check on this connection was not answered in time.
     HealthCheckTimeout(ConnectionId),
@@ -19,7 +19,7 @@
     StartWatch,
     /// Graceful shutdown: clients without a request are closed from now on.
     CloseIdleClients,
-    /// Graceful shutdown: whatever is not answered yet is answered now.
+    /// Graceful shutdown: what is not answered yet is answered now.
     AnswerDeadline,
 }
 
