--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -1,39 +1,15 @@
 //! Carries out the effects that the router asks for, and reports the events that follow from them.
 
+use super::pending_event::PendingEvent;
+use super::server::{ExitState, Server, print_to_stderr};
 use super::socket::{ConnectState, Socket, Unread, WriteOutcome, start_connecting};
-use super::{ExitState, Server, print_to_stderr};
+
 use crate::io::{Bytes, ConnectionId, Effect, Event, ExpectedInput};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// An event that follows from an effect. It is reported to the router after the other effects of the same step.
-#[derive(Debug)]
-pub(super) enum PendingEvent {
-    /// The router asked to see once more what was received.
-    ReadAgain(ConnectionId),
-    /// All queued output is written.
-    Flushed(ConnectionId),
-    /// The connection is closed.
-    Ended {
-        /// The id that the connection had.
-        connection: ConnectionId,
-        /// How many bytes were written on it in all.
-        written_bytes: u64,
-    },
-}
-
-impl PendingEvent {
-    /// The connection that the event is about.
-    fn connection(&self) -> ConnectionId {
-        match self {
-            PendingEvent::ReadAgain(connection) | PendingEvent::Flushed(connection) => *connection,
-            PendingEvent::Ended { connection, .. } => *connection,
-        }
-    }
-}
-
 impl Server {
     /// Reports an event to the router and carries out the effects that it asks for.
     pub(super) fn report_event(&mut self, event: Event) {
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -1,8 +1,8 @@
 //! The listening socket for clients. It is paused while an accepted stream waits for a free place, and for a
 //! short time after accepting failed.
 
-use super::ServeError;
 use super::clock::Clock;
+use super::error::ServeError;
 use balancer::Micros;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
--- /dev/null
+++ b/crates/query-router/src/event_loop/pending_event.rs
@@ -0,0 +1,29 @@
+//! Events that follow from effects.
+
+use crate::io::ConnectionId;
+
+/// An event that follows from an effect. It is reported to the router after the other effects of the same step.
+#[derive(Debug)]
+pub(super) enum PendingEvent {
+    /// The router asked to see once more what was received.
+    ReadAgain(ConnectionId),
+    /// All queued output is written.
+    Flushed(ConnectionId),
+    /// The connection is closed.
+    Ended {
+        /// The id that the connection had.
+        connection: ConnectionId,
+        /// How many bytes were written on it in all.
+        written_bytes: u64,
+    },
+}
+
+impl PendingEvent {
+    /// The connection that the event is about.
+    pub(super) fn connection(&self) -> ConnectionId {
+        match self {
+            PendingEvent::ReadAgain(connection) | PendingEvent::Flushed(connection) => *connection,
+            PendingEvent::Ended { connection, .. } => *connection,
+        }
+    }
+}
--- a/crates/query-router/src/event_loop/signals.rs
+++ b/crates/query-router/src/event_loop/signals.rs
@@ -1,6 +1,6 @@
 //! The signals that the router handles.
 
-use super::ServeError;
+use super::error::ServeError;
 use calloop::LoopHandle;
 use calloop::signals::{Signal, Signals};
 
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -1,11 +1,12 @@
 //! The event loop on real connections. The tests run its iterations one by one, so that an event between two
 //! steps comes there each time.
 
-use super::socket::Unread;
+use super::socket::{Socket, Unread};
 use super::*;
+use crate::io::{ConnectionId, Event};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// How long a test waits for something before it fails.
 const MAX_WAIT: Duration = Duration::from_secs(30);
--- a/crates/query-router/src/protocol/http/chunked.rs
+++ b/crates/query-router/src/protocol/http/chunked.rs
@@ -1,6 +1,7 @@
 //! Bodies in chunks.
 
-use super::{HttpError, MAX_HEAD_BYTES, MAX_HEADERS};
+use super::error::HttpError;
+use super::limits::{MAX_HEAD_BYTES, MAX_HEADERS};
 use httparse::Status;
 
 /// What the decoder expects next.
--- a/crates/query-router/src/protocol/http/error.rs
+++ b/crates/query-router/src/protocol/http/error.rs
@@ -6,7 +6,7 @@
     /// The start line or a header field does not follow the syntax.
     #[error("the head is malformed")]
     MalformedHead,
-    /// The head is over [`MAX_HEAD_BYTES`](super::MAX_HEAD_BYTES) or has too many fields.
+    /// The head is over [`MAX_HEAD_BYTES`](super::limits::MAX_HEAD_BYTES) or has too many fields.
     #[error("the head is too large")]
     HeadTooLarge,
     /// `Content-Length` is not a number of bytes.
@@ -24,7 +24,7 @@
     /// A chunk states more bytes than are allowed.
     #[error("a chunk is too long")]
     ChunkTooLong,
-    /// The body is over [`MAX_BODY_BYTES`](super::MAX_BODY_BYTES).
+    /// The body is over [`MAX_BODY_BYTES`](super::limits::MAX_BODY_BYTES).
     #[error("the body is over 64 KiB")]
     BodyTooLarge,
 }
--- a/crates/query-router/src/protocol/http/framing.rs
+++ b/crates/query-router/src/protocol/http/framing.rs
@@ -1,6 +1,6 @@
 //! How the end of a message's body is known.
 
-use super::HttpError;
+use super::error::HttpError;
 
 /// How the end of a body is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- /dev/null
+++ b/crates/query-router/src/protocol/http/headers.rs
@@ -0,0 +1,7 @@
+//! Values of header fields.
+
+/// Whether a comma-separated field value contains a token, in any case.
+pub(super) fn has_token(value: &[u8], token: &str) -> bool {
+    let text = std::str::from_utf8(value).unwrap_or("");
+    text.split(',').any(|part| part.trim().eq_ignore_ascii_case(token))
+}
--- a/crates/query-router/src/protocol/http/request.rs
+++ b/crates/query-router/src/protocol/http/request.rs
@@ -1,9 +1,10 @@
 //! Requests of clients, parsed from the bytes of a connection.
 
-use super::{
-    BodyFraming, ChunkedDecoder, HttpError, MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS, MAX_REQUEST_BYTES,
-    has_token,
-};
+use super::chunked::ChunkedDecoder;
+use super::error::HttpError;
+use super::framing::BodyFraming;
+use super::headers::has_token;
+use super::limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS, MAX_REQUEST_BYTES};
 use httparse::Status;
 use std::borrow::Cow;
 
--- a/crates/query-router/src/protocol/http/response.rs
+++ b/crates/query-router/src/protocol/http/response.rs
@@ -1,6 +1,8 @@
 //! Heads of responses: those of discovery are parsed, the router's own are encoded.
 
-use super::{BodyFraming, HttpError, MAX_HEAD_BYTES, MAX_HEADERS};
+use super::error::HttpError;
+use super::framing::BodyFraming;
+use super::limits::{MAX_HEAD_BYTES, MAX_HEADERS};
 use httparse::Status;
 
 /// The head of a response that was received.
--- a/crates/query-router/src/protocol/http/tests.rs
+++ b/crates/query-router/src/protocol/http/tests.rs
@@ -1,5 +1,6 @@
 //! Requests and responses: what is read of their bytes, and what is rejected.
 
+use super::limits::{MAX_HEAD_BYTES, MAX_HEADERS};
 use super::response::ResponseHead;
 use super::*;
 
