--- a/crates/cli/tests/loopback/rig/data_node.rs
+++ b/crates/cli/tests/loopback/rig/data_node.rs
@@ -61,7 +61,7 @@
     /// Whether there is no connection that was not accepted.
     pub fn has_no_connection(&self) -> bool {
         self.listener.set_nonblocking(true).expect("a mode");
-        matches!(self.listener.accept(), Err(e) if e.kind() == ErrorKind::WouldBlock)
+        matches!(self.listener.accept(), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 }
 
@@ -76,11 +76,11 @@
                 stream.set_read_timeout(Some(MAX_WAIT)).expect("a timeout");
                 return NodeConnection(stream);
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => {
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {
                 assert!(started.elapsed() < MAX_WAIT, "nobody connects");
                 std::thread::sleep(Duration::from_millis(2));
             }
-            Err(e) => panic!("accepting fails: {e}"),
+            Err(error) => panic!("accepting failed: {error}"),
         }
     }
 }
--- a/crates/cli/tests/loopback/serving.rs
+++ b/crates/cli/tests/loopback/serving.rs
@@ -43,7 +43,7 @@
 #[test]
 fn list_of_over_a_thousand_nodes_is_served_from() {
     let node = data_node().to_string();
-    let members = (0..1_030).map(|i| member(&format!("node-{i:08}"), &node, "z", 0, "ready", 0));
+    let members = (0..1_030).map(|index| member(&format!("node-{index:08}"), &node, "z", 0, "ready", 0));
     let discovery = Discovery::start(8, members.collect());
     let router = start("many", &discovery);
     let mut client = router.connect();
--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -51,11 +51,7 @@
                 }
             }
             Effect::Connect { connection, address } => self.connect(connection, address),
-            Effect::Consume { connection, count } => {
-                if let Some(socket) = self.socket_mut(connection) {
-                    socket.consume_input(count);
-                }
-            }
+            Effect::Consume { connection, count } => self.consume(connection, count),
             Effect::Redeliver(connection) => {
                 self.pending_events.push_back(PendingEvent::ReadAgain(connection))
             }
@@ -73,12 +69,7 @@
                 // The id may be reused, so events of this connection must not be reported any more.
                 self.pending_events.retain(|event| event.connection() != connection);
             }
-            Effect::CloseIfIdle(connection) => {
-                // What has come in, an end too, is handled when the loop reads it.
-                if self.unread(connection) == Some(Unread::Nothing) {
-                    self.close_and_report(connection);
-                }
-            }
+            Effect::CloseIfIdle(connection) => self.close_if_idle(connection),
             Effect::Abort(connection) => self.close_and_report(connection),
             Effect::WakeAt(wake_at) => self.wake_at = wake_at,
             Effect::PrintCounters(lines) => print_to_stderr(&lines),
@@ -93,6 +84,20 @@
         }
     }
 
+    fn consume(&mut self, connection: ConnectionId, count: usize) {
+        if let Some(socket) = self.socket_mut(connection) {
+            socket.consume_input(count);
+        }
+    }
+
+    /// Closes a connection on which nothing has come in. Unread bytes, or an unread end, are handled when the loop
+    /// reads them.
+    fn close_if_idle(&mut self, connection: ConnectionId) {
+        if self.unread(connection) == Some(Unread::Nothing) {
+            self.close_and_report(connection);
+        }
+    }
+
     fn write(&mut self, connection: ConnectionId, buffers: Vec<Bytes>) {
         if let Some(socket) = self.socket_mut(connection) {
             socket.queue_output(buffers);
--- a/crates/query-router/src/protocol/frames.rs
+++ b/crates/query-router/src/protocol/frames.rs
@@ -142,8 +142,9 @@
 
 /// The five bytes in front of a payload of `payload_length` bytes: the length and the letter.
 pub fn head(letter: u8, payload_length: usize) -> [u8; 5] {
-    let [a, b, c, d] = (payload_length as u32 + 1).to_be_bytes();
-    [a, b, c, d, letter]
+    let mut head = [letter; LENGTH_BYTES + 1];
+    head[..LENGTH_BYTES].copy_from_slice(&(payload_length as u32 + 1).to_be_bytes());
+    head
 }
 
 /// The line in front of a shard request's text in a batch; `remaining_ms` is the time until its deadline.
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -13,14 +13,14 @@
         begin.len(),
         end.len()
     );
-    for at in 0..text.len() {
+    for split in 0..text.len() {
         let mut rig = Rig::new();
         let watch = rig.peers.outgoing[0].id;
         rig.step(Event::Established(watch));
         assert!(rig.written(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
         // Bytes that were not consumed are reported again.
         let mut left = Vec::new();
-        for piece in [&text.as_bytes()[..at], &text.as_bytes()[at..]] {
+        for piece in [&text.as_bytes()[..split], &text.as_bytes()[split..]] {
             left.extend_from_slice(piece);
             rig.router.step(START, Event::Received { connection: watch, bytes: &left });
             for effect in rig.router.take_effects() {
@@ -31,18 +31,18 @@
         }
         let ready: Vec<bool> =
             rig.router.state.context.endpoints.records().iter().map(|record| record.ready).collect();
-        assert_eq!((ready, left.len()), (vec![true, false], 0), "split at {at}");
+        assert_eq!((ready, left.len()), (vec![true, false], 0), "split at {split}");
         // A watch that was well is restarted as soon as it counts as silent.
         rig.pass(3_999_999);
         assert_eq!((rig.peers.outgoing[0].id, rig.router.counters().endpoint_watches_silent), (watch, 0));
         rig.pass(1);
         assert_eq!((rig.peers.outgoing.len(), rig.router.counters().endpoint_watches_silent), (1, 1));
         assert_eq!(rig.router.counters().discovery_failures, 0);
-        let most = (0..160).map(|_| {
+        let watch_counts = (0..160).map(|_| {
             rig.pass(100_000);
             rig.peers.outgoing.len()
         });
-        assert_eq!(most.max(), Some(1), "one watch at a time");
+        assert_eq!(watch_counts.max(), Some(1), "one watch at a time");
         assert!(rig.router.counters().discovery_failures > 1);
     }
 }
@@ -100,14 +100,14 @@
     let mut waits = Vec::new();
     for _ in 0..8 {
         rig.end(rig.peers.outgoing[0].id, 0);
-        let since = rig.now;
+        let failed_at = rig.now;
         while rig.peers.outgoing.is_empty() {
             rig.pass(1_000);
         }
-        waits.push(rig.now - since);
+        waits.push(rig.now - failed_at);
     }
-    for (wait, most) in waits.into_iter().zip([125, 250, 250, 250, 250, 250, 250, 250]) {
-        assert!((most * 500..=most * 1_000).contains(&(wait - wait % 1_000)), "{wait} of {most} ms");
+    for (wait, max_ms) in waits.into_iter().zip([125, 250, 250, 250, 250, 250, 250, 250]) {
+        assert!((max_ms * 500..=max_ms * 1_000).contains(&(wait - wait % 1_000)), "{wait} of {max_ms} ms");
     }
     // One that is well resets the delay.
     let watch = rig.peers.outgoing[0].id;
@@ -156,10 +156,10 @@
     }
 }
 
-/// A full list of so many nodes, compact or indented.
+/// A full list of `nodes` nodes, compact or indented.
 fn list_of(nodes: usize, indented: bool) -> String {
-    let member = |i: usize| {
-        serde_json::json!({"id": format!("s-{i:08x}"), "host_port": format!("127.0.0.1:{}", 2000 + i),
+    let member = |index: usize| {
+        serde_json::json!({"id": format!("s-{index:08x}"), "host_port": format!("127.0.0.1:{}", 2000 + index),
             "locality": "z", "flavor": "std", "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0})
     };
     let members: Vec<_> = (0..nodes).map(member).collect();
@@ -167,10 +167,12 @@
     if indented { serde_json::to_string_pretty(&list).expect("JSON") } else { list.to_string() }
 }
 
-/// Has a request answered with these bytes, so many at a time; what was not consumed is reported again.
-fn receive_in_pieces(rig: &mut Rig<RecordingPeers>, request: ConnectionId, bytes: &[u8], piece: usize) {
+/// Answers a request with these bytes, `piece_length` at a time. Bytes that were not consumed are reported again.
+fn receive_in_pieces(
+    rig: &mut Rig<RecordingPeers>, request: ConnectionId, bytes: &[u8], piece_length: usize,
+) {
     let mut left = Vec::new();
-    for piece in bytes.chunks(piece) {
+    for piece in bytes.chunks(piece_length) {
         left.extend_from_slice(piece);
         rig.router.step(START, Event::Received { connection: request, bytes: &left });
         for effect in rig.router.take_effects() {
@@ -182,11 +184,11 @@
 }
 
 /// How many nodes are ready after a response to a poll or a watch.
-fn ready_after(watch: bool, bytes: &[u8], piece: usize) -> usize {
+fn ready_after(watch: bool, bytes: &[u8], piece_length: usize) -> usize {
     let mut rig = Rig::new();
     let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
     rig.step(Event::Established(request));
-    receive_in_pieces(&mut rig, request, bytes, piece);
+    receive_in_pieces(&mut rig, request, bytes, piece_length);
     rig.ready_endpoints()
 }
 
--- a/crates/query-router/src/router/tests/dispatch.rs
+++ b/crates/query-router/src/router/tests/dispatch.rs
@@ -44,7 +44,7 @@
     let mut rig = Rig::new();
     rig.query("pay", "t1");
     let connection = rig.peers.outgoing.last().expect("a connection").id;
-    // Sockets are read before timers expire: the timer is due in this iteration too.
+    // Sockets are read before timers expire: the timer expires in this iteration too.
     rig.now += 1_500_000;
     rig.step(Event::Established(connection));
     assert_eq!((rig.written(connection), rig.router.counters().attempts_not_sent), (String::new(), 2));
@@ -179,8 +179,8 @@
     let clients: Vec<ConnectionId> = (0..4).map(|_| rig.client()).collect();
     rig.query("pay", "t1");
     let node = rig.router.state.queries.shard_requests[0].attempts[0].node.0;
-    let members = [("a", 71), ("b", 72)].into_iter().enumerate().map(|(i, (id, port))| {
-        let phase = if i == node { "draining" } else { "ready" };
+    let members = [("a", 71), ("b", 72)].into_iter().enumerate().map(|(index, (id, port))| {
+        let phase = if index == node { "draining" } else { "ready" };
         serde_json::json!({"id": id, "host_port": format!("127.0.0.1:{port}"), "cell": 0, "phase": phase})
     });
     let list = serde_json::json!({"revision": 42, "members": members.collect::<Vec<_>>()});
--- a/crates/query-router/src/router/tests/endpoints.rs
+++ b/crates/query-router/src/router/tests/endpoints.rs
@@ -7,10 +7,10 @@
     let mut rig = Rig::new();
     rig.query("pay", "t1");
     let Outgoing { id: connection, port } = *rig.peers.outgoing.last().expect("a connection");
-    let list = |phase: &str, up: i64| {
+    let list = |phase: &str, started_at_ms: i64| {
         let id = if port == 71 { "a" } else { "b" };
         serde_json::json!({"revision": 50, "members": [{"id": id, "host_port": format!("127.0.0.1:{port}"),
-            "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": up}]})
+            "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": started_at_ms}]})
     };
     // Not established yet: cancelled before it is sent, and sent elsewhere.
     rig.apply_list(&list("draining", 0), EndpointUpdate::Incremental);
@@ -23,10 +23,10 @@
     // Established before the process started: it is lost, and what was in flight on it may have been executed.
     rig.apply_list(&list("ready", 0), EndpointUpdate::Incremental);
     rig.now += 100_000;
-    let up = (rig.now - 50_000) / 1000;
+    let started_at_ms = (rig.now - 50_000) / 1000;
     let id = if other_port == 71 { "a" } else { "b" };
     let fresh = serde_json::json!({"revision": 51, "members": [{"id": id, "cell": 0, "phase": "ready",
-        "host_port": format!("127.0.0.1:{other_port}"), "size": 1.0, "up_since_ms": up}]});
+        "host_port": format!("127.0.0.1:{other_port}"), "size": 1.0, "up_since_ms": started_at_ms}]});
     rig.apply_list(&fresh, EndpointUpdate::Incremental);
     rig.run_effects();
     assert_eq!(
@@ -38,25 +38,25 @@
 #[test]
 fn nodes_that_come_and_go_leave_nothing_behind() {
     let mut rig = Rig::new();
-    let member = |i: usize, phase: &str| serde_json::json!({"id": format!("n{i}"), "host_port": "127.0.0.1:73", "cell": 0, "phase": phase});
-    for i in 0..2_000 {
+    let member = |round: usize, phase: &str| serde_json::json!({"id": format!("n{round}"), "host_port": "127.0.0.1:73", "cell": 0, "phase": phase});
+    for round in 0..2_000 {
         // It is removed while its shard requests are in flight, and they are answered afterwards.
         let ids = ["a", "b"].map(|id| serde_json::json!({"id": id, "cell": 0, "phase": "gone"}));
-        let members = [vec![member(i, "ready")], ids.to_vec()].concat();
+        let members = [vec![member(round, "ready")], ids.to_vec()].concat();
         rig.apply_list(
-            &serde_json::json!({"revision": 42 + i, "members": members}),
+            &serde_json::json!({"revision": 42 + round, "members": members}),
             EndpointUpdate::Incremental,
         );
         rig.decide();
-        let client = rig.query("look", &format!("t{i}"));
+        let client = rig.query("look", &format!("t{round}"));
         let (connection, _) = rig.establish_last();
-        let gone = serde_json::json!({"revision": 42 + i, "members": [member(i, "gone")]});
+        let gone = serde_json::json!({"revision": 42 + round, "members": [member(round, "gone")]});
         rig.apply_list(&gone, EndpointUpdate::Incremental);
         rig.decide();
-        rig.respond(connection, &format!("t{i}.0 OK 5 -"), "alpha");
-        rig.respond(connection, &format!("t{i}.1 OK 5 -"), "beta");
+        rig.respond(connection, &format!("t{round}.0 OK 5 -"), "alpha");
+        rig.respond(connection, &format!("t{round}.1 OK 5 -"), "beta");
         rig.decide();
-        assert!(rig.written(client).starts_with("HTTP/1.1 200"), "{i}: {}", rig.written(client));
+        assert!(rig.written(client).starts_with("HTTP/1.1 200"), "{round}: {}", rig.written(client));
         rig.end(client, 0);
         rig.peers.written.clear();
     }
--- a/crates/query-router/src/router/tests/event_sequences.rs
+++ b/crates/query-router/src/router/tests/event_sequences.rs
@@ -6,13 +6,15 @@
 /// The peer of a connection.
 #[derive(Default)]
 struct RemoteEnd {
-    /// What it was sent, and how many bytes of that are taken by the system.
+    /// The bytes that the router has written.
     sent: Vec<u8>,
+    /// How many of them the system has taken.
     taken: usize,
-    /// How far a node has read, and the ids of the shard requests that it has to answer.
+    /// How many of them a node has read; not 0 for discovery once it has sent the head of a response.
     read: usize,
+    /// The ids of the shard requests that a node has to answer, empty for a health check.
     requests: Vec<String>,
-    /// What it has sent that the router did not consume.
+    /// The bytes that the peer has sent and the router has not consumed.
     unconsumed: Vec<u8>,
     established: bool,
     /// The port that it listens on, none for a client.
@@ -94,7 +96,7 @@
 fn batch_ids(mut content: &[u8]) -> Vec<String> {
     let mut ids = Vec::new();
     while !content.is_empty() {
-        let line_length = content.iter().position(|&b| b == b'\n').expect("a line");
+        let line_length = content.iter().position(|&byte| byte == b'\n').expect("a line");
         let line = std::str::from_utf8(&content[..line_length]).expect("text");
         let mut words = line.split(' ');
         ids.push(words.next().expect("an id").to_string());
@@ -154,10 +156,11 @@
         }
     }
 
-    /// Draws one of the connections that fit.
-    fn any(&mut self, of: impl Fn(&RemoteEnd) -> bool) -> Option<ConnectionId> {
-        let fits: Vec<ConnectionId> = self.ends.iter().filter(|end| of(end.1)).map(|end| *end.0).collect();
-        self.rng.choice(fits)
+    /// Draws one of the connections whose remote end matches.
+    fn any(&mut self, matches: impl Fn(&RemoteEnd) -> bool) -> Option<ConnectionId> {
+        let matching: Vec<ConnectionId> =
+            self.ends.iter().filter(|(_, end)| matches(end)).map(|(id, _)| *id).collect();
+        self.rng.choice(matching)
     }
 
     /// A client's request, good or bad.
@@ -225,9 +228,9 @@
     /// A node sends a response to one of its shard requests, another frame, or nothing that can be used.
     fn node_sends(&mut self, id: ConnectionId) {
         let request_count = self.peers.ends[&id].requests.len();
-        let at = self.peers.rng.usize(0..request_count.max(1));
+        let index = self.peers.rng.usize(0..request_count.max(1));
         let end = self.peers.ends.get_mut(&id).filter(|_| request_count > 0);
-        let request_id = end.map(|end| end.requests.remove(at));
+        let request_id = end.map(|end| end.requests.remove(index));
         let bytes = match (request_id, self.peers.rng.u8(0..24)) {
             (Some(request_id), _) if request_id.is_empty() => frame(b'G', "OK"),
             (_, 0) => frame(b'N', "what was that"),
@@ -246,11 +249,11 @@
     fn discovery_sends(&mut self, id: ConnectionId) {
         self.peers.revision += self.peers.rng.u64(0..3);
         let mut members = Vec::new();
-        for (i, id) in ["a", "b", "c", "d"].into_iter().enumerate() {
+        for (index, id) in ["a", "b", "c", "d"].into_iter().enumerate() {
             let phase = ["ready", "ready", "draining", "gone"][self.peers.rng.usize(0..4)];
             let up_since = self.peers.rng.u64(0..3) * (START as u64 / 1_000);
             if self.peers.rng.bool() {
-                members.push(serde_json::json!({"id": id, "host_port": format!("127.0.0.1:{}", 71 + i),
+                members.push(serde_json::json!({"id": id, "host_port": format!("127.0.0.1:{}", 71 + index),
                     "locality": "z", "cell": 0, "phase": phase, "size": 1.0, "up_since_ms": up_since}));
             }
         }
@@ -273,65 +276,20 @@
         self.send(id, format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes());
     }
 
-    /// One event, drawn.
+    /// Draws one event and lets it happen.
     fn random_event(&mut self) {
         match self.peers.rng.u8(0..40) {
             0..=3 => self.step(Event::ClientConnected),
-            4..=11 => {
-                let request = self.peers.request();
-                if let Some(id) = self.peers.any(RemoteEnd::is_client) {
-                    self.send(id, &request);
-                }
-            }
-            12..=13 => {
-                if let Some(id) = self.peers.any(RemoteEnd::is_client) {
-                    self.break_off(id);
-                }
-            }
-            14..=18 => {
-                if let Some(id) = self.peers.any(|end| !end.established) {
-                    self.peers.ends.get_mut(&id).expect("an end").established = true;
-                    self.step(Event::Established(id));
-                }
-            }
-            19..=25 => {
-                if let Some(id) =
-                    self.peers.any(|end| end.is_node() && end.established && !end.requests.is_empty())
-                {
-                    self.node_sends(id);
-                }
-            }
-            26 => {
-                if let Some(id) = self.peers.any(|end| end.is_node() && end.established) {
-                    self.node_sends(id);
-                }
-            }
-            27 => {
-                if let Some(id) = self.peers.any(RemoteEnd::is_node) {
-                    self.break_off(id);
-                }
-            }
-            28..=29 => {
-                if let Some(id) = self.peers.any(|end| end.is_discovery() && end.established) {
-                    self.discovery_sends(id);
-                }
-            }
-            30 => {
-                if let Some(id) = self.peers.any(RemoteEnd::is_discovery) {
-                    self.step(Event::PeerClosed(id));
-                    self.break_off(id);
-                }
-            }
-            31..=32 => {
-                if let Some(id) = self.peers.any(|end| end.taken < end.sent.len()) {
-                    self.peers.take_all(&self.router, id, &mut self.follow_ups);
-                    self.run_effects();
-                }
-            }
-            33 => {
-                let to = if self.peers.rng.bool() { "127.0.0.1:9" } else { "127.0.0.2:9" };
-                self.step(Event::DiscoveryMoved(to.parse().expect("an address")));
-            }
+            4..=11 => self.random_request(),
+            12..=13 => self.break_off_any(RemoteEnd::is_client),
+            14..=18 => self.establish_any(),
+            19..=25 => self.any_node_sends(|end| !end.requests.is_empty()),
+            26 => self.any_node_sends(|_| true),
+            27 => self.break_off_any(RemoteEnd::is_node),
+            28..=29 => self.any_discovery_sends(),
+            30 => self.any_discovery_closes(),
+            31..=32 => self.any_stalled_write_goes_on(),
+            33 => self.discovery_moves(),
             34..=36 => self.decide(),
             _ => {
                 let span = [100, 5_000, 100_000, 700_000][self.peers.rng.usize(0..4)];
@@ -340,6 +298,58 @@
             }
         }
     }
+
+    fn random_request(&mut self) {
+        let request = self.peers.request();
+        if let Some(id) = self.peers.any(RemoteEnd::is_client) {
+            self.send(id, &request);
+        }
+    }
+
+    fn break_off_any(&mut self, matches: impl Fn(&RemoteEnd) -> bool) {
+        if let Some(id) = self.peers.any(matches) {
+            self.break_off(id);
+        }
+    }
+
+    fn establish_any(&mut self) {
+        if let Some(id) = self.peers.any(|end| !end.established) {
+            self.peers.ends.get_mut(&id).expect("an end").established = true;
+            self.step(Event::Established(id));
+        }
+    }
+
+    fn any_node_sends(&mut self, matches: impl Fn(&RemoteEnd) -> bool) {
+        if let Some(id) = self.peers.any(|end| end.is_node() && end.established && matches(end)) {
+            self.node_sends(id);
+        }
+    }
+
+    fn any_discovery_sends(&mut self) {
+        if let Some(id) = self.peers.any(|end| end.is_discovery() && end.established) {
+            self.discovery_sends(id);
+        }
+    }
+
+    fn any_discovery_closes(&mut self) {
+        if let Some(id) = self.peers.any(RemoteEnd::is_discovery) {
+            self.step(Event::PeerClosed(id));
+            self.break_off(id);
+        }
+    }
+
+    /// The system takes the rest of what is to be written on a connection.
+    fn any_stalled_write_goes_on(&mut self) {
+        if let Some(id) = self.peers.any(|end| end.taken < end.sent.len()) {
+            self.peers.take_all(&self.router, id, &mut self.follow_ups);
+            self.run_effects();
+        }
+    }
+
+    fn discovery_moves(&mut self) {
+        let address = if self.peers.rng.bool() { "127.0.0.1:9" } else { "127.0.0.2:9" };
+        self.step(Event::DiscoveryMoved(address.parse().expect("an address")));
+    }
 }
 
 #[test]
@@ -361,17 +371,21 @@
         let state = &rig.router.state;
         assert_eq!(state.queries.open_count(), 0, "seed {seed}: a query without an answer");
         let clients: Vec<ConnectionId> =
-            rig.peers.ends.iter().filter(|end| end.1.is_client()).map(|end| *end.0).collect();
+            rig.peers.ends.iter().filter(|(_, end)| end.is_client()).map(|(id, _)| *id).collect();
         for id in clients {
             rig.break_off(id);
         }
-        // Those that wait for one of few connections come in turn, each for two seconds.
+        // Clients that wait for one of few connections are accepted one after the other, each for two seconds.
         rig.advance(200_000_000);
         let state = &rig.router.state;
-        assert!(rig.exit, "seed {seed}: it does not end");
+        assert!(rig.exit, "seed {seed}: the router does not exit");
         assert_eq!((state.queries.queries.len(), state.queries.shard_requests.len()), (0, 0), "seed {seed}");
         let known: BTreeSet<ConnectionId> = state.context.connections.ids().collect();
-        assert_eq!(known, rig.peers.ends.keys().copied().collect(), "seed {seed}: connections of nobody");
+        assert_eq!(
+            known,
+            rig.peers.ends.keys().copied().collect(),
+            "seed {seed}: connections without a peer"
+        );
         assert_eq!(state.context.counters.invariants_violated, 0);
         // What may not be executed twice was sent in full once, unless a node rejected it.
         let rejected = state.context.counters.attempts_rejected;
--- a/crates/query-router/src/router/tests/node_connections.rs
+++ b/crates/query-router/src/router/tests/node_connections.rs
@@ -11,7 +11,7 @@
     letter[4] = 1;
     let named = [huge, letter, named("t1.1 ? 5 -"), named("t1.1  5 -"), named("t1.1 OK 5 -\n\0")];
     let others = [vec![0, 0, 0, 0, 1], b"xxxxxxxx".to_vec(), vec![0, 0, 0, 4, b'Y', b't', b'.', b'1']];
-    for (bytes, at) in named.into_iter().map(|b| (b, 1)).chain(others.into_iter().map(|b| (b, 0))) {
+    for (bytes, malformed) in named.into_iter().map(|b| (b, 1)).chain(others.into_iter().map(|b| (b, 0))) {
         for split in 1..bytes.len() {
             let mut rig = Rig::new();
             let client = rig.query("pay", "t1");
@@ -28,7 +28,8 @@
             );
             assert_eq!((&rig.peers.closed[..], ends), (&[connection][..], (1, 1, 0)), "{bytes:?}");
             assert!(
-                split < bytes.len() - 1 || rig.router.state.queries.shard_requests[at].attempts[0].finished
+                split < bytes.len() - 1
+                    || rig.router.state.queries.shard_requests[malformed].attempts[0].finished
             );
             rig.decide();
             assert!(rig.written(client).starts_with("HTTP/1.1 502"), "it may have run");
--- a/crates/query-router/src/router/tests/rig.rs
+++ b/crates/query-router/src/router/tests/rig.rs
@@ -1,5 +1,5 @@
-//! The state machine with peers that tests play: effects are carried out in the event loop's order, and what comes of
-//! them is reported after them.
+//! The state machine with simulated peers. Effects are carried out in the order of the event loop, and the events that
+//! follow from them are reported afterwards.
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect, Event};
@@ -32,7 +32,7 @@
         {"name":"look","idempotency":"read_like","targetNs":1000000000,"deadlineNs":2000000000},
         {"name":"pay","idempotency":"non_idempotent","targetNs":1000000000,"deadlineNs":2000000000}]}}"#;
 
-/// What the event loop reports after the effects at hand.
+/// An event that follows from an effect.
 pub enum FollowUp {
     /// A connection has ended.
     Ended {
@@ -59,7 +59,7 @@
     /// Carries out an effect on a connection.
     fn carry_out(&mut self, router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>);
 
-    /// What a connection has received and the router has not consumed, if it is kept.
+    /// The bytes that were received on a connection and not consumed, if the peers keep them.
     fn unconsumed(&self, id: ConnectionId) -> Option<Vec<u8>>;
 }
 
@@ -93,7 +93,7 @@
         self.step(Event::Received { connection, bytes });
     }
 
-    /// A connection ends with so many bytes written.
+    /// A connection ends, on which this number of bytes was written.
     pub fn end(&mut self, connection: ConnectionId, written_bytes: u64) {
         self.step(Event::Ended { connection, written_bytes });
     }
@@ -156,7 +156,7 @@
     pub port: u16,
 }
 
-/// Peers that stand still until a test moves them, and record what the router does.
+/// Peers that do nothing by themselves and record what the router does.
 #[derive(Default)]
 pub struct RecordingPeers {
     /// What was written on each connection.
@@ -169,9 +169,9 @@
     pub closed: Vec<ConnectionId>,
     /// The connections closed for writing.
     pub half_closed: Vec<ConnectionId>,
-    /// Only the start of what is written is taken.
+    /// Whether only the start of what is written is taken.
     pub writes_stall: bool,
-    /// Connections with bytes that were not reported yet.
+    /// Connections on which bytes have come in that were not reported yet.
     pub unread: Vec<ConnectionId>,
 }
 
--- a/crates/query-router/src/router/tests/shutdown.rs
+++ b/crates/query-router/src/router/tests/shutdown.rs
@@ -57,7 +57,7 @@
 
 #[test]
 fn a_pipelined_request_is_answered_though_shutdown_began_meanwhile() {
-    // The answer's head keeps the connection open; it is not written in full when the router is told to end.
+    // The answer's head keeps the connection open; it is not written in full when the shutdown begins.
     let mut rig = Rig::new();
     let client = rig.client();
     rig.peers.writes_stall = true;
