--- a/crates/query-router/src/router/clients/idle.rs
+++ b/crates/query-router/src/router/clients/idle.rs
@@ -20,7 +20,7 @@
 /// Closes the writing side of a connection between requests. A request that crosses the close meets no reset, and its
 /// client sends it again.
 pub fn half_close(context: &mut Context, id: ConnectionId) {
-    context.connections.client(id).state = ClientState::HalfClosed;
+    context.connections.client_mut(id).state = ClientState::HalfClosed;
     context.effects.push(Effect::CloseWrite(id));
     context.set_connection_timer(id, Some(context.now + LINGER));
 }
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -97,7 +97,7 @@
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
     ) -> Option<AcceptedQuery> {
         self.set_unconsumed(context, id, bytes.len());
-        let client = context.connections.client(id);
+        let client = context.connections.client_mut(id);
         match client.state {
             ClientState::New | ClientState::Idle | ClientState::ReceivingRequest => {}
             ClientState::ClosingIfIdle => client.state = ClientState::Idle,
@@ -117,7 +117,7 @@
     /// sends much and disconnects: its end is noticed only after everything before it is read.
     fn received_before_answer(&mut self, context: &mut Context, id: ConnectionId, length: usize) {
         let is_over_memory = self.is_over_memory();
-        let client = context.connections.client(id);
+        let client = context.connections.client_mut(id);
         if client.close_after_answer || is_over_memory || length >= MAX_REQUEST_BYTES {
             client.close_after_answer = true;
             self.consume(context, id, length);
@@ -129,10 +129,10 @@
     ) -> Option<AcceptedQuery> {
         match http::parse_request(bytes) {
             Ok(Some(request)) => {
-                context.connections.client(id).close_after_answer = request.closes_connection;
+                context.connections.client_mut(id).close_after_answer = request.closes_connection;
                 self.consume(context, id, request.encoded_length);
                 context.set_connection_timer(id, None);
-                self.request(context, queries, id, &request)
+                self.handle_request(context, queries, id, &request)
             }
             Ok(None) if self.is_over_memory() => {
                 context.counters.requests_over_memory += 1;
@@ -141,7 +141,7 @@
                 None
             }
             Ok(None) => {
-                self.incomplete_request(context, id, bytes);
+                self.handle_incomplete_request(context, id, bytes);
                 None
             }
             Err(error) => {
@@ -156,14 +156,14 @@
     fn reject_unread(
         &mut self, context: &mut Context, id: ConnectionId, length: usize, status: u16, reason: &str,
     ) {
-        context.connections.client(id).close_after_answer = true;
+        context.connections.client_mut(id).close_after_answer = true;
         self.consume(context, id, length);
         self.replies.reply_line(context, id, status, reason);
     }
 
     /// Handles a request that was received in part.
-    fn incomplete_request(&self, context: &mut Context, id: ConnectionId, bytes: &[u8]) {
-        let client = context.connections.client(id);
+    fn handle_incomplete_request(&self, context: &mut Context, id: ConnectionId, bytes: &[u8]) {
+        let client = context.connections.client_mut(id);
         if client.without_request() && !bytes.is_empty() {
             client.state = ClientState::ReceivingRequest;
             let answer_deadline = context.shutdown.answer_deadline().unwrap_or(Micros::MAX);
@@ -177,7 +177,7 @@
     }
 
     /// Handles a complete request: accepts a query, and answers everything else.
-    fn request(
+    fn handle_request(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
     ) -> Option<AcceptedQuery> {
         let path = request.path.split('?').next().unwrap_or("");
@@ -230,7 +230,7 @@
         let deadline = context.shutdown.answer_deadline().map_or(deadline, |latest| latest.min(deadline));
         context.counters.queries_accepted += 1;
         let query_id = queries.add_query(request.trace_id, id, deadline, query.text);
-        context.connections.client(id).state = ClientState::AwaitingAnswer(query_id);
+        context.connections.client_mut(id).state = ClientState::AwaitingAnswer(query_id);
         let arrival = QueryArrival {
             query: query_id,
             class: query.class,
@@ -251,7 +251,7 @@
     /// Handles an answer that was written: closes the connection, or waits for the next request on it.
     pub fn answer_written(&self, context: &mut Context, id: ConnectionId) {
         let now = context.now;
-        let client = context.connections.client(id);
+        let client = context.connections.client_mut(id);
         if client.state != ClientState::SendingAnswer {
             return;
         }
@@ -278,7 +278,7 @@
 
     /// Handles the timer of a connection.
     pub fn timer_expired(&mut self, context: &mut Context, id: ConnectionId) {
-        let client = context.connections.client(id);
+        let client = context.connections.client_mut(id);
         match client.state {
             ClientState::ReceivingRequest => {
                 client.close_after_answer = true;
@@ -316,7 +316,7 @@
 
     /// The query that a client waits for.
     pub fn awaited_query(&self, context: &mut Context, id: ConnectionId) -> Option<QueryId> {
-        match context.connections.client(id).state {
+        match context.connections.client_mut(id).state {
             ClientState::AwaitingAnswer(query) => Some(query),
             _ => None,
         }
@@ -335,12 +335,12 @@
     /// Notes how many received bytes of a client are not consumed. Guards against many incomplete or pipelined
     /// requests, each within its own limit, that exceed the memory together.
     fn set_unconsumed(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
-        let previous = std::mem::replace(&mut context.connections.client(id).unconsumed, count);
+        let previous = std::mem::replace(&mut context.connections.client_mut(id).unconsumed, count);
         self.unconsumed = self.unconsumed - previous + count;
     }
 
     fn consume(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
-        let left = context.connections.client(id).unconsumed.saturating_sub(count);
+        let left = context.connections.client_mut(id).unconsumed.saturating_sub(count);
         self.set_unconsumed(context, id, left);
         context.effects.push(Effect::Consume { connection: id, count });
     }
--- a/crates/query-router/src/router/clients/replies.rs
+++ b/crates/query-router/src/router/clients/replies.rs
@@ -45,7 +45,7 @@
         &self, context: &mut Context, id: ConnectionId, status: u16, content_type: &str, body: Vec<u8>,
         retry_after: Option<Micros>,
     ) {
-        let client = context.connections.client(id);
+        let client = context.connections.client_mut(id);
         client.state = ClientState::SendingAnswer;
         client.close_after_answer |= context.shutdown.has_begun();
         let retry_after_seconds = retry_after.map(|wait| wait as f64 / 1e6);
--- a/crates/query-router/src/router/connection/discovery.rs
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -49,7 +49,7 @@
     Watch,
 }
 
-/// How far a response was read.
+/// How far a body was received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyProgress {
     /// More is to come.
@@ -58,6 +58,30 @@
     Complete,
 }
 
+impl BodyProgress {
+    fn from_complete(complete: bool) -> BodyProgress {
+        if complete { BodyProgress::Complete } else { BodyProgress::Incomplete }
+    }
+}
+
+/// The result of reading bytes of a response.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ResponseRead {
+    /// How many bytes were consumed.
+    pub consumed: usize,
+    /// How far the body was received.
+    pub progress: BodyProgress,
+}
+
+/// An update that a watch has sent.
+#[derive(Debug)]
+pub struct WatchUpdate {
+    /// The revision that it states.
+    pub revision: u64,
+    /// Its entries.
+    pub list: EndpointList,
+}
+
 /// An endpoint list or an update of it, in discovery's form.
 #[derive(Debug)]
 pub struct EndpointList {
@@ -79,7 +103,7 @@
 /// A request to discovery.
 #[derive(Debug)]
 pub struct DiscoveryRequest {
-    /// What was asked.
+    /// The kind of the request.
     pub kind: RequestKind,
     /// How the body is framed, once the head is in.
     framing: Option<BodyFraming>,
@@ -94,11 +118,11 @@
     partial_object_since: Option<Micros>,
     progress: BodyProgress,
     /// Whether a watch has sent a message.
-    pub answered: bool,
+    answered: bool,
     /// When it last sent one, or when the request was made.
-    pub last_message_at: Micros,
+    last_message_at: Micros,
     /// The revision of the last update.
-    pub revision: u64,
+    revision: u64,
 }
 
 impl DiscoveryRequest {
@@ -120,36 +144,36 @@
     }
 
     /// Reads further bytes. Returns how many were consumed and whether the body is complete.
-    pub fn read(&mut self, bytes: &[u8]) -> Result<(usize, BodyProgress), DiscoveryError> {
+    pub fn read(&mut self, bytes: &[u8]) -> Result<ResponseRead, DiscoveryError> {
         let mut consumed = 0;
         if self.framing.is_none() {
             let Some(head) = http::parse_response_head(bytes)? else {
-                return Ok((0, BodyProgress::Incomplete));
+                return Ok(ResponseRead { consumed: 0, progress: BodyProgress::Incomplete });
             };
             // Discovery is down or too busy: the body is of no use, and without framing the request has failed.
             if head.status != 200 {
-                return Ok((bytes.len(), BodyProgress::Complete));
+                return Ok(ResponseRead { consumed: bytes.len(), progress: BodyProgress::Complete });
             }
             consumed = head.length;
             self.framing = Some(head.framing);
         }
-        let (body_bytes, progress) = self.read_body(&bytes[consumed..])?;
+        let body = self.read_body(&bytes[consumed..])?;
         if self.body.len() > MAX_ENDPOINT_LIST_BYTES {
             return Err(DiscoveryError::ListTooLong);
         }
-        Ok((consumed + body_bytes, progress))
+        Ok(ResponseRead { consumed: consumed + body.consumed, progress: body.progress })
     }
 
-    fn read_body(&mut self, bytes: &[u8]) -> Result<(usize, BodyProgress), DiscoveryError> {
+    fn read_body(&mut self, bytes: &[u8]) -> Result<ResponseRead, DiscoveryError> {
         match self.framing {
             Some(BodyFraming::Chunked) => {
                 let (kind, body, objects) = (self.kind, &mut self.body, &mut self.objects);
                 let mut store = |data: &[u8]| store(kind, body, objects, data);
                 let decoded = self.chunks.decode(bytes, &mut store)?;
-                Ok((
-                    decoded.consumed,
-                    if decoded.complete { BodyProgress::Complete } else { BodyProgress::Incomplete },
-                ))
+                Ok(ResponseRead {
+                    consumed: decoded.consumed,
+                    progress: BodyProgress::from_complete(decoded.complete),
+                })
             }
             Some(BodyFraming::Length(length)) if length > MAX_ENDPOINT_LIST_BYTES => {
                 Err(DiscoveryError::ListTooLong)
@@ -158,12 +182,12 @@
                 let data = &bytes[..bytes.len().min(length - self.body_read)];
                 store(self.kind, &mut self.body, &mut self.objects, data);
                 self.body_read += data.len();
-                let complete = self.body_read == length;
-                Ok((bytes.len(), if complete { BodyProgress::Complete } else { BodyProgress::Incomplete }))
+                let progress = BodyProgress::from_complete(self.body_read == length);
+                Ok(ResponseRead { consumed: bytes.len(), progress })
             }
             Some(BodyFraming::UntilClose) | None => {
                 store(self.kind, &mut self.body, &mut self.objects, bytes);
-                Ok((bytes.len(), BodyProgress::Incomplete))
+                Ok(ResponseRead { consumed: bytes.len(), progress: BodyProgress::Incomplete })
             }
         }
     }
@@ -178,6 +202,27 @@
         })
     }
 
+    /// Notes a message of a watch. Returns whether it is the first one.
+    pub fn note_message(&mut self, now: Micros) -> bool {
+        self.last_message_at = now;
+        !std::mem::replace(&mut self.answered, true)
+    }
+
+    /// Whether a watch has sent a message.
+    pub fn has_answered(&self) -> bool {
+        self.answered
+    }
+
+    /// The revision of the last update of a watch.
+    pub fn revision(&self) -> u64 {
+        self.revision
+    }
+
+    /// Notes the revision of an update of a watch.
+    pub fn set_revision(&mut self, revision: u64) {
+        self.revision = revision;
+    }
+
     /// Notes how far the response was read. Returns since when the stream has made no progress.
     pub fn note_progress(&mut self, now: Micros, progress: BodyProgress) -> Micros {
         self.progress = progress;
@@ -207,13 +252,13 @@
     }
 }
 
-/// The update that a watch has sent, and its revision.
-pub fn parse_update(text: &[u8]) -> Result<(EndpointList, u64), DiscoveryError> {
+/// Parses an update that a watch has sent.
+pub fn parse_update(text: &[u8]) -> Result<WatchUpdate, DiscoveryError> {
     let json: Json = serde_json::from_slice(text).map_err(|_| DiscoveryError::UpdateNotJson)?;
     let complete = json["complete"].as_bool().ok_or(DiscoveryError::CompleteMissing)?;
     let update = if complete { EndpointUpdate::Full } else { EndpointUpdate::Incremental };
     let revision = checked_revision(&json, update)?;
-    Ok((EndpointList { update, json }, revision))
+    Ok(WatchUpdate { revision, list: EndpointList { update, json } })
 }
 
 fn store(kind: RequestKind, body: &mut Vec<u8>, objects: &mut JsonStream, data: &[u8]) {
--- a/crates/query-router/src/router/connection/mod.rs
+++ b/crates/query-router/src/router/connection/mod.rs
@@ -92,7 +92,7 @@
     }
 
     /// The client connection with this id, which must be one.
-    pub fn client(&mut self, id: ConnectionId) -> &mut ClientConnection {
+    pub fn client_mut(&mut self, id: ConnectionId) -> &mut ClientConnection {
         match &mut self.slots[id.0].connection {
             Connection::Client(client) => client,
             _ => unreachable!("{id:?} is a client connection"),
@@ -100,7 +100,7 @@
     }
 
     /// The node connection with this id, which must be one.
-    pub fn node(&mut self, id: ConnectionId) -> &mut NodeConnection {
+    pub fn node_mut(&mut self, id: ConnectionId) -> &mut NodeConnection {
         match &mut self.slots[id.0].connection {
             Connection::Node(node) => node,
             _ => unreachable!("{id:?} is a node connection"),
@@ -108,7 +108,7 @@
     }
 
     /// The node connection with this id, if it is one.
-    pub fn as_node(&self, id: ConnectionId) -> Option<&NodeConnection> {
+    pub fn node(&self, id: ConnectionId) -> Option<&NodeConnection> {
         match &self.slots.get(id.0)?.connection {
             Connection::Node(node) => Some(node),
             _ => None,
@@ -116,7 +116,7 @@
     }
 
     /// The request to discovery with this id, which must be one.
-    pub fn discovery(&mut self, id: ConnectionId) -> &mut DiscoveryRequest {
+    pub fn discovery_mut(&mut self, id: ConnectionId) -> &mut DiscoveryRequest {
         match &mut self.slots[id.0].connection {
             Connection::Discovery(request) => request,
             _ => unreachable!("{id:?} is a request to discovery"),
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -25,7 +25,7 @@
 
 /// How far an attempt was sent when it was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Cancelled {
+pub enum SendProgress {
     /// Removed before its first byte was written.
     NotSent,
     /// Its frame is not known to be written in full: the attempt ends with the connection.
@@ -295,14 +295,14 @@
     pub fn cancel(
         &mut self, attempt: AttemptId, request_id: &Rc<str>, max_abandoned: usize,
         unanswered_since: Option<Micros>,
-    ) -> Cancelled {
+    ) -> SendProgress {
         let Some(index) = self.in_flight.iter().position(|sent| sent.attempt == attempt) else {
             self.remove_queued(attempt);
-            return Cancelled::NotSent;
+            return SendProgress::NotSent;
         };
         if self.in_flight[index].end_offset > self.bytes_flushed {
             self.close_cause = CloseCause::Local;
-            return Cancelled::PartlyWritten;
+            return SendProgress::PartlyWritten;
         }
         self.in_flight.remove(index);
         if unanswered_since.is_some_and(|requested_at| self.last_frame_at < requested_at) {
@@ -313,7 +313,7 @@
         }
         self.abandoned.push_back(request_id.clone());
         self.queue.push_back(OutgoingFrame::Cancellation(request_id.clone()));
-        Cancelled::Sent
+        SendProgress::Sent
     }
 
     /// Notes that a frame of `length` bytes was handed to the event loop. Returns how many bytes are written on the
--- a/crates/query-router/src/router/context.rs
+++ b/crates/query-router/src/router/context.rs
@@ -123,7 +123,7 @@
     /// loop closes the connection only if there is none.
     pub fn evict_client(&mut self, id: ConnectionId) {
         self.counters.client_connections_evicted += 1;
-        self.connections.client(id).state = ClientState::ClosingIfIdle;
+        self.connections.client_mut(id).state = ClientState::ClosingIfIdle;
         self.effects.push(Effect::CloseIfIdle(id));
     }
 
@@ -136,7 +136,7 @@
     /// Closes all idle connections to a node.
     pub fn close_idle_nodes(&mut self, node: NodeId) {
         for id in self.endpoints[node].connections.clone() {
-            if self.connections.node(id).idle_since().is_some() {
+            if self.connections.node_mut(id).idle_since().is_some() {
                 self.close_idle_node(id);
             }
         }
@@ -144,7 +144,7 @@
 
     /// Closes and removes a node connection; frees its node's id with the last one if the balancer has released it.
     pub fn close_node(&mut self, id: ConnectionId) {
-        let node = self.connections.node(id).node;
+        let node = self.connections.node_mut(id).node;
         self.endpoints[node].connections.retain(|&other| other != id);
         self.close(id);
         self.endpoints.free_if_unused(node);
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -6,8 +6,8 @@
 use crate::io::{ConnectionId, Effect};
 use crate::router::connection::Connection;
 use crate::router::connection::discovery::{
-    BodyProgress, DiscoveryError, DiscoveryRequest, EndpointList, HEARTBEAT_INTERVAL, RequestKind,
-    WatchMessage, parse_update,
+    DiscoveryError, DiscoveryRequest, EndpointList, HEARTBEAT_INTERVAL, RequestKind, ResponseRead,
+    WatchMessage, WatchUpdate, parse_update,
 };
 use crate::router::context::Context;
 use backoff::WatchBackoff;
@@ -120,7 +120,7 @@
 
     /// Changes the address. Requests in progress are closed and sent again to the new address, so that no late answer
     /// from the old one overwrites a newer list. Revisions of the two addresses are not comparable.
-    pub fn move_to(&mut self, context: &mut Context, address: SocketAddr) {
+    pub fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
         if address == self.address {
             return;
         }
@@ -138,7 +138,7 @@
     /// A connection is established: sends the request.
     pub fn established(&self, context: &mut Context, id: ConnectionId) {
         let (address, revision) = (self.address, self.revision);
-        let query = match context.connections.discovery(id).kind {
+        let query = match context.connections.discovery_mut(id).kind {
             RequestKind::Watch => format!("?watch=1&after={revision}"),
             RequestKind::Poll => String::new(),
         };
@@ -150,8 +150,8 @@
     /// Reads further bytes of a response. Returns how many were consumed and whether the body is complete.
     pub fn read(
         &self, context: &mut Context, id: ConnectionId, bytes: &[u8],
-    ) -> Result<(usize, BodyProgress), DiscoveryError> {
-        context.connections.discovery(id).read(bytes)
+    ) -> Result<ResponseRead, DiscoveryError> {
+        context.connections.discovery_mut(id).read(bytes)
     }
 
     /// The next update that a watch has sent in full. The first message proves that discovery works, so even a blank
@@ -159,13 +159,12 @@
     pub fn next_update(
         &mut self, context: &mut Context, id: ConnectionId,
     ) -> Result<Option<EndpointList>, DiscoveryError> {
-        let request = context.connections.discovery(id);
+        let request = context.connections.discovery_mut(id);
         if request.kind == RequestKind::Poll {
             return Ok(None);
         }
         while let Some(message) = request.next_message()? {
-            let is_first = !std::mem::replace(&mut request.answered, true);
-            request.last_message_at = context.now;
+            let is_first = request.note_message(context.now);
             if is_first {
                 self.backoff.reset();
             }
@@ -176,15 +175,15 @@
                 WatchMessage::Heartbeat => continue,
                 WatchMessage::Update(text) => text,
             };
-            let (list, revision) = parse_update(&text)?;
+            let WatchUpdate { revision, list } = parse_update(&text)?;
             // Guards against a delayed update that undoes a drain.
-            let newest = request.revision;
+            let newest = request.revision();
             if revision < newest {
                 context.counters.endpoint_lists_stale += 1;
                 tracing::warn!(revision, newest, "stale endpoint update skipped");
                 continue;
             }
-            request.revision = revision;
+            request.set_revision(revision);
             return Ok(Some(list));
         }
         Ok(None)
@@ -192,41 +191,41 @@
 
     /// Notes that all received bytes were read. Guards against a truncated object, behind which nothing on a watch can
     /// be parsed: bytes that complete neither a line nor an object do not count as messages.
-    pub fn finish_reading(
-        &self, context: &mut Context, id: ConnectionId, consumed: usize, progress: BodyProgress,
-    ) {
-        context.effects.push(Effect::Consume { connection: id, count: consumed });
+    pub fn finish_reading(&self, context: &mut Context, id: ConnectionId, read: ResponseRead) {
+        context.effects.push(Effect::Consume { connection: id, count: read.consumed });
         let now = context.now;
-        let no_progress_since = context.connections.discovery(id).note_progress(now, progress);
+        let no_progress_since = context.connections.discovery_mut(id).note_progress(now, read.progress);
         context.set_connection_timer(id, Some(no_progress_since + SILENCE_TIMEOUT));
     }
 
     /// Notes that discovery has closed the connection in order; the end of the connection follows.
     pub fn closed_by_peer(&self, context: &mut Context, id: ConnectionId) {
-        context.connections.discovery(id).closed_by_peer();
+        context.connections.discovery_mut(id).closed_by_peer();
     }
 
     /// Handles the end of a connection, or of a response after which nothing more comes.
     pub fn ended(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
-        match context.connections.discovery(id).polled_list() {
+        match context.connections.discovery_mut(id).polled_list() {
             Some(Ok(list)) => RequestEnd::List(list),
-            Some(Err(error)) => self.invalid(context, id, &error),
-            None => self.failed(context, id),
+            Some(Err(error)) => self.reject_response(context, id, &error),
+            None => self.fail_request(context, id),
         }
     }
 
     /// Handles a response that cannot be used.
-    pub fn invalid(&mut self, context: &mut Context, id: ConnectionId, error: &DiscoveryError) -> RequestEnd {
+    pub fn reject_response(
+        &mut self, context: &mut Context, id: ConnectionId, error: &DiscoveryError,
+    ) -> RequestEnd {
         context.counters.endpoint_lists_invalid += 1;
         tracing::warn!(%error, "discovery response rejected");
-        self.failed(context, id)
+        self.fail_request(context, id)
     }
 
     /// Handles a request on which nothing was received for too long. A watch that worked is started again at once, and
     /// the balancer gets a report only if that fails: the updates that a silent watch missed arrive soon after.
-    pub fn silent(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
-        if self.watch != Some(id) || !context.connections.discovery(id).answered {
-            return self.failed(context, id);
+    pub fn timed_out(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
+        if self.watch != Some(id) || !context.connections.discovery_mut(id).has_answered() {
+            return self.fail_request(context, id);
         }
         tracing::info!("silent endpoint watch restarted");
         context.counters.endpoint_watches_silent += 1;
@@ -234,7 +233,7 @@
         RequestEnd::WatchRestarted
     }
 
-    fn failed(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
+    fn fail_request(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
         if self.watch == Some(id) {
             self.watch = None;
         }
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
-use crate::router::connection::node::{Cancelled, Establishment, HealthCheckKind};
+use crate::router::connection::node::{Establishment, HealthCheckKind, SendProgress};
 use crate::router::context::Context;
 use crate::router::node_connections;
 use crate::router::query_table::QueryTable;
@@ -125,16 +125,16 @@
         // Its response should have come if another attempt was answered first, or after the connect timeout.
         let should_be_answered =
             request.value.is_some() || context.now - requested_at >= context.limits.connect_timeout;
-        let cancelled = context.connections.node(connection).cancel(
+        let cancelled = context.connections.node_mut(connection).cancel(
             attempt,
             &request.id,
             context.limits.max_requests_per_connection,
             should_be_answered.then_some(requested_at),
         );
         match cancelled {
-            Cancelled::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
-            Cancelled::PartlyWritten => context.effects.push(Effect::Abort(connection)),
-            Cancelled::Sent => {
+            SendProgress::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
+            SendProgress::PartlyWritten => context.effects.push(Effect::Abort(connection)),
+            SendProgress::Sent => {
                 node_connections::write(context, queries, connection);
                 node_connections::close_or_keep_idle(context, connection);
                 queries.finish_attempt_later(context, attempt, outcome);
@@ -155,26 +155,28 @@
     /// a machine that vanished does not close them, and what is sent on one is lost. Queued attempts are cancelled if
     /// the node is not ready or has another address.
     pub fn apply_endpoint(&mut self, context: &mut Context, queries: &mut QueryTable, node: NodeId) {
-        let endpoint = context.endpoints[node].clone();
-        if !endpoint.ready {
+        let endpoint = &context.endpoints[node];
+        let (ready, address, started_at) = (endpoint.ready, endpoint.address, endpoint.started_at);
+        let connections = endpoint.connections.clone();
+        if !ready {
             self.cancel_waiting(context, queries, node);
         }
-        for id in endpoint.connections {
-            let connection = context.connections.node(id);
+        for id in connections {
+            let connection = context.connections.node_mut(id);
             if let Establishment::Established { since } = connection.establishment()
-                && since < endpoint.started_at
+                && since < started_at
             {
                 context.effects.push(Effect::Abort(id));
                 continue;
             }
-            if endpoint.ready && endpoint.address == Some(connection.address) {
+            if ready && address == Some(connection.address) {
                 continue;
             }
             let queued: Vec<AttemptId> = connection.queued_attempts().collect();
             for attempt in queued {
                 self.cancel(context, queries, attempt, AttemptOutcome::NotSent);
             }
-            if context.connections.node(id).idle_since().is_some() {
+            if context.connections.node_mut(id).idle_since().is_some() {
                 context.close_idle_node(id);
             }
         }
@@ -194,6 +196,6 @@
 fn is_unwritten(context: &Context, queries: &QueryTable, attempt: AttemptId) -> bool {
     // The connection of an attempt that has ended may belong to another node by now.
     let Some(state) = queries.attempt(attempt).filter(|state| !state.finished) else { return false };
-    let connection = state.connection.and_then(|id| context.connections.as_node(id));
+    let connection = state.connection.and_then(|id| context.connections.node(id));
     !connection.is_some_and(|connection| connection.has_written(attempt))
 }
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -86,7 +86,9 @@
             Event::PeerClosed(id) => self.closed_by_peer(id),
             Event::Ended { connection: id, written_bytes } => self.ended(id, written_bytes),
             Event::TimerExpired => self.expire_timers(),
-            Event::DiscoveryMoved(address) => self.state.discovery.move_to(&mut self.state.context, address),
+            Event::DiscoveryMoved(address) => {
+                self.state.discovery.set_address(&mut self.state.context, address)
+            }
             Event::Terminate => self.begin_shutdown(),
             Event::ReportCounters => {
                 let lines = self.counters().lines();
@@ -230,7 +232,7 @@
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
-                let end = discovery.silent(context, id);
+                let end = discovery.timed_out(context, id);
                 self.discovery_request_ended(id, end);
             }
             None => {}
@@ -327,10 +329,10 @@
     /// Reads a response of discovery and applies each update as soon as it is complete.
     fn discovery_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let State { context, discovery, .. } = &mut self.state;
-        let (consumed, progress) = match discovery.read(context, id, bytes) {
+        let read = match discovery.read(context, id, bytes) {
             Ok(read) => read,
             Err(error) => {
-                let end = discovery.invalid(context, id, &error);
+                let end = discovery.reject_response(context, id, &error);
                 return self.discovery_request_ended(id, end);
             }
         };
@@ -340,14 +342,14 @@
                 Ok(Some(list)) => self.apply_endpoint_list(&list),
                 Ok(None) => break,
                 Err(error) => {
-                    let end = discovery.invalid(context, id, &error);
+                    let end = discovery.reject_response(context, id, &error);
                     return self.discovery_request_ended(id, end);
                 }
             }
         }
         let State { context, discovery, .. } = &mut self.state;
-        discovery.finish_reading(context, id, consumed, progress);
-        if progress == BodyProgress::Complete {
+        discovery.finish_reading(context, id, read);
+        if read.progress == BodyProgress::Complete {
             let end = discovery.ended(context, id);
             self.discovery_request_ended(id, end);
         }
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -54,7 +54,7 @@
 /// is closed as idle.
 pub fn set_timer(context: &mut Context, id: ConnectionId) {
     let (connect_timeout, idle_timeout) = (context.limits.connect_timeout, context.limits.idle_timeout);
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     let at = match (connection.establishment(), connection.partial_frame()) {
         (Establishment::Connecting { since }, _) => Some(since + connect_timeout),
         (_, Some(partial)) => Some(partial.since + connect_timeout),
@@ -66,7 +66,7 @@
 /// Keeps an idle connection until its idle timeout, or closes it at once if it cannot be reused.
 pub fn close_or_keep_idle(context: &mut Context, id: ConnectionId) {
     let now = context.now;
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     if connection.idle_since().is_some() {
         if !connection.is_reusable() {
             return context.close_idle_node(id);
@@ -81,7 +81,7 @@
 pub fn ended(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes_written: u64,
 ) -> Vec<NodeReport<'static>> {
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     let was_established = connection.is_established();
     let cause = connection.close_cause();
     let queued: Vec<AttemptId> = connection.queued_attempts().collect();
@@ -123,7 +123,7 @@
 pub fn finish_health_check<'a>(
     context: &mut Context, id: ConnectionId, outcome: AttemptOutcome, load: Vec<LoadMetric<'a>>,
 ) -> Option<NodeReport<'a>> {
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     let node = connection.node;
     let deadline = connection.pop_health_check()?;
     context.timers.remove(deadline, Timer::HealthCheckTimeout(id));
@@ -135,7 +135,7 @@
 /// a response was damaged on its way: one attempt counts as malformed, the one `named` in the frame or else the oldest
 /// in flight, and the close cancels the others.
 pub fn close_malformed(context: &mut Context, id: ConnectionId, named: Option<AttemptId>) {
-    match context.connections.node(id).set_malformed(named) {
+    match context.connections.node_mut(id).set_malformed(named) {
         None => context.counters.frames_unexpected += 1,
         Some(_) => note_malformed_frame(context, id, "the node sent a frame that could not be parsed"),
     }
@@ -145,7 +145,7 @@
 /// Counts a frame that a data node or this router could not parse. It is logged once for each node.
 pub fn note_malformed_frame(context: &mut Context, id: ConnectionId, reason: &str) {
     context.counters.frames_malformed += 1;
-    let node = context.connections.node(id).node;
+    let node = context.connections.node_mut(id).node;
     let endpoint = &mut context.endpoints[node];
     if !std::mem::replace(&mut endpoint.malformed_frame_logged, true) {
         let address = endpoint.address.map(tracing::field::display);
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -20,14 +20,14 @@
 
 /// Handles a connection that was established.
 pub fn established(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
-    context.connections.node(id).set_established(context.now);
+    context.connections.node_mut(id).set_established(context.now);
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
 
 /// Handles that everything handed to the event loop is written.
 pub fn flushed(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
-    context.connections.node(id).set_flushed();
+    context.connections.node_mut(id).set_flushed();
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
@@ -36,7 +36,7 @@
 pub fn check_health(context: &mut Context, queries: &mut QueryTable, node: NodeId, kind: HealthCheckKind) {
     let Some(id) = connection_for(context, queries, node, &[]) else { return };
     let deadline = context.now + context.limits.connect_timeout;
-    let deadline = context.connections.node(id).queue_health_check(kind, deadline);
+    let deadline = context.connections.node_mut(id).queue_health_check(kind, deadline);
     context.timers.insert(deadline, Timer::HealthCheckTimeout(id));
     write(context, queries, id);
 }
@@ -54,7 +54,7 @@
 pub fn timer_expired(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId,
 ) -> Vec<NodeReport<'static>> {
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     if !connection.is_established() {
         return ended(context, queries, id, 0);
     }
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -11,7 +11,7 @@
 use settings_schema::parse_load_metrics;
 
 /// The result of handling a frame.
-enum Received<'a> {
+enum FrameOutcome<'a> {
     /// It is to be reported to the balancer.
     Report(NodeReport<'a>),
     /// The balancer needs no report.
@@ -34,18 +34,18 @@
             }
             Ok(Some(frame)) => {
                 let received = receive(context, queries, id, frame.kind, frame.payload);
-                if !matches!(received, Received::Malformed) {
+                if !matches!(received, FrameOutcome::Malformed) {
                     *offset += frame.encoded_length;
                 }
                 received
             }
-            Err(_) => Received::Malformed,
+            Err(_) => FrameOutcome::Malformed,
         };
         match received {
-            Received::Report(report) => return Some(report),
-            Received::Handled => {}
-            Received::Malformed => {
-                let named = context.connections.node(id).attempt_named_in(rest);
+            FrameOutcome::Report(report) => return Some(report),
+            FrameOutcome::Handled => {}
+            FrameOutcome::Malformed => {
+                let named = context.connections.node_mut(id).attempt_named_in(rest);
                 close_malformed(context, id, named);
                 return None;
             }
@@ -55,35 +55,35 @@
 
 /// Consumes the frames that were read, and notes the one of which `rest` is the start.
 fn finish_reading(context: &mut Context, id: ConnectionId, rest: &[u8], consumed: usize) {
-    context.connections.node(id).note_received(context.now, consumed, rest);
+    context.connections.node_mut(id).note_received(context.now, consumed, rest);
     context.effects.push(Effect::Consume { connection: id, count: consumed });
     close_or_keep_idle(context, id);
 }
 
 fn receive<'a>(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, kind: FrameKind, content: &'a [u8],
-) -> Received<'a> {
+) -> FrameOutcome<'a> {
     match kind {
         FrameKind::Response => receive_response(context, queries, id, content),
         FrameKind::Health | FrameKind::Load => receive_health(context, id, content),
         FrameKind::NotUnderstood => {
             // The node is about to close the connection: queued batches are sent on others.
             note_malformed_frame(context, id, &String::from_utf8_lossy(content));
-            context.connections.node(id).forbid_reuse();
+            context.connections.node_mut(id).forbid_reuse();
             context.effects.push(Effect::Abort(id));
-            Received::Handled
+            FrameOutcome::Handled
         }
-        FrameKind::Batch | FrameKind::Cancel => Received::Malformed,
+        FrameKind::Batch | FrameKind::Cancel => FrameOutcome::Malformed,
     }
 }
 
 /// Handles a response to a shard request.
 fn receive_response<'a>(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, content: &'a [u8],
-) -> Received<'a> {
-    let Ok(response) = ShardResponse::parse(content) else { return Received::Malformed };
+) -> FrameOutcome<'a> {
+    let Ok(response) = ShardResponse::parse(content) else { return FrameOutcome::Malformed };
     let ShardResponse { id: request_id, outcome, load_report: load, value } = response;
-    let Some(attempt) = context.connections.node(id).take_answered(request_id) else {
+    let Some(attempt) = context.connections.node_mut(id).take_answered(request_id) else {
         return receive_late_response(context, id, request_id);
     };
     if outcome == AttemptOutcome::Succeeded {
@@ -91,27 +91,29 @@
     }
     let load = std::str::from_utf8(load).ok().and_then(parse_load);
     match queries.finish_attempt(context, attempt, outcome) {
-        Some(finished) => Received::Report(NodeReport::Attempt { finished, load: load.unwrap_or_default() }),
-        None => Received::Handled,
+        Some(finished) => {
+            FrameOutcome::Report(NodeReport::Attempt { finished, load: load.unwrap_or_default() })
+        }
+        None => FrameOutcome::Handled,
     }
 }
 
 /// Counts a response to a shard request that is not in flight on the connection. It is malformed if the connection
 /// cannot be reused by now, unless it repeats the last response.
-fn receive_late_response<'a>(context: &mut Context, id: ConnectionId, request_id: &str) -> Received<'a> {
+fn receive_late_response<'a>(context: &mut Context, id: ConnectionId, request_id: &str) -> FrameOutcome<'a> {
     context.counters.responses_late += 1;
-    let ignored = context.connections.node(id).ignore_late_response(request_id);
-    if ignored { Received::Handled } else { Received::Malformed }
+    let ignored = context.connections.node_mut(id).ignore_late_response(request_id);
+    if ignored { FrameOutcome::Handled } else { FrameOutcome::Malformed }
 }
 
 /// Handles the answer to a health check, which states the node's load, `OK`, `ERROR` or `-`.
-fn receive_health<'a>(context: &mut Context, id: ConnectionId, content: &'a [u8]) -> Received<'a> {
-    let Ok(text) = std::str::from_utf8(content) else { return Received::Malformed };
+fn receive_health<'a>(context: &mut Context, id: ConnectionId, content: &'a [u8]) -> FrameOutcome<'a> {
+    let Ok(text) = std::str::from_utf8(content) else { return FrameOutcome::Malformed };
     let outcome = if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
     let load = if matches!(text, "OK" | "ERROR" | "-") { "" } else { text };
     match finish_health_check(context, id, outcome, parse_load(load).unwrap_or_default()) {
-        Some(report) => Received::Report(report),
-        None => Received::Handled,
+        Some(report) => FrameOutcome::Report(report),
+        None => FrameOutcome::Handled,
     }
 }
 
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -61,7 +61,7 @@
     for &attempt in &attempts {
         queries.set_connection(attempt, id);
     }
-    context.connections.node(id).queue_batch(attempts);
+    context.connections.node_mut(id).queue_batch(attempts);
 }
 
 /// Moves batches that wait for a connection to be established to one that has become idle meanwhile. Returns the
@@ -88,12 +88,12 @@
 fn reassign_batch(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, node: NodeId,
 ) -> Option<ConnectionId> {
-    let ids = queries.ids(context.connections.node(id).first_queued_batch()?);
+    let ids = queries.ids(context.connections.node_mut(id).first_queued_batch()?);
     let candidate = best_connection(context, queries, node, &ids)?;
     if candidate.suitability != Suitability::Idle {
         return None;
     }
-    let attempts = context.connections.node(id).take_first_queued_batch()?;
+    let attempts = context.connections.node_mut(id).take_first_queued_batch()?;
     context.counters.batches_reassigned += 1;
     queue_batch(context, queries, candidate.connection, attempts);
     Some(candidate.connection)
@@ -104,7 +104,7 @@
     context: &Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
 ) -> Option<Candidate> {
     let candidates = context.endpoints[node].connections.iter().filter_map(|&id| {
-        let connection = context.connections.as_node(id)?;
+        let connection = context.connections.node(id)?;
         can_carry(context, queries, connection, ids).then(|| candidate(context, id, connection))
     });
     candidates.min()
--- a/crates/query-router/src/router/node_connections/write.rs
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -11,12 +11,12 @@
 
 /// Hands the queued frames of a connection to the event loop, unless earlier ones are still being written.
 pub fn write(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
-    let Some(connection) = context.connections.as_node(id) else { return };
+    let Some(connection) = context.connections.node(id) else { return };
     if !connection.is_established() || !connection.is_flushed() || connection.is_queue_empty() {
         return;
     }
     cancel_expired(context, queries, id);
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     if connection.is_queue_empty() {
         return;
     }
@@ -28,7 +28,7 @@
         ExpectedInput::Response
     };
     let mut buffers: Vec<Bytes> = Vec::new();
-    while let Some(frame) = context.connections.node(id).pop_queued() {
+    while let Some(frame) = context.connections.node_mut(id).pop_queued() {
         encode(context, queries, id, frame, &mut buffers);
     }
     context.effects.push(Effect::WriteIfOpen { connection: id, buffers, expected });
@@ -64,7 +64,7 @@
     let length = buffers[head_index..].iter().map(|buffer| buffer.len()).sum();
     let head = frames::head(kind.letter(), length);
     buffers[head_index] = head.into();
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     let end_offset = connection.add_handed_over(head.len() + length);
     if let OutgoingFrame::Batch(attempts) = frame {
         connection.add_in_flight(attempts.into_iter().map(|attempt| {
@@ -80,11 +80,11 @@
     let has_expired = |attempt: &AttemptId| {
         queries.attempt(*attempt).is_some_and(|attempt| attempt.deadline <= context.now)
     };
-    let connection = context.connections.as_node(id);
+    let connection = context.connections.node(id);
     let expired: Vec<AttemptId> =
         connection.into_iter().flat_map(NodeConnection::queued_attempts).filter(has_expired).collect();
     for attempt in expired {
-        context.connections.node(id).remove_queued(attempt);
+        context.connections.node_mut(id).remove_queued(attempt);
         queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent);
     }
 }
--- a/crates/query-router/src/router/shutdown.rs
+++ b/crates/query-router/src/router/shutdown.rs
@@ -5,13 +5,13 @@
 use balancer::Micros;
 
 /// For how long idle connections are kept, since clients notice the shutdown late; includes the protocol's slack.
-pub const ACCEPTING_FOR: Micros = 450_000;
+pub const IDLE_CLOSE_DELAY: Micros = 450_000;
 /// The platform kills the process this long after SIGTERM, plus the longest deadline of a service class.
-pub const KILLED_AFTER: Micros = 700_000;
-/// The upper limit on the deadline that is added to [`KILLED_AFTER`].
-const MAX_DEADLINE_COUNTED: Micros = 3_000_000;
+pub const KILL_DELAY: Micros = 700_000;
+/// The upper limit on the deadline that is added to [`KILL_DELAY`].
+const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
 /// How long before the kill everything is answered: twice the protocol's slack.
-const ANSWERED_BEFORE_KILL: Micros = 100_000;
+const ANSWER_MARGIN: Micros = 100_000;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
 enum Phase {
@@ -37,10 +37,10 @@
             return false;
         }
         self.phase = Phase::Draining;
-        let killed_at = now + KILLED_AFTER + longest_deadline.min(MAX_DEADLINE_COUNTED);
-        let answer_deadline = killed_at - ANSWERED_BEFORE_KILL;
+        let killed_at = now + KILL_DELAY + longest_deadline.min(MAX_COUNTED_DEADLINE);
+        let answer_deadline = killed_at - ANSWER_MARGIN;
         self.answer_deadline = Some(answer_deadline);
-        timers.insert(now + ACCEPTING_FOR, Timer::CloseIdleClients);
+        timers.insert(now + IDLE_CLOSE_DELAY, Timer::CloseIdleClients);
         timers.insert(answer_deadline, Timer::AnswerDeadline);
         true
     }
--- a/crates/query-router/src/router/tests/dispatch.rs
+++ b/crates/query-router/src/router/tests/dispatch.rs
@@ -148,7 +148,7 @@
             let connection = rig.connection_for(0, &ids).expect("a connection");
             rig.run_effects();
             rig.step(Event::Established(connection));
-            rig.router.state.context.connections.node(connection).queue_batch(Vec::new());
+            rig.router.state.context.connections.node_mut(connection).queue_batch(Vec::new());
             connection
         })
         .collect();
--- a/crates/query-router/src/router/tests/event_sequences.rs
+++ b/crates/query-router/src/router/tests/event_sequences.rs
@@ -366,7 +366,7 @@
             rig.advance(10_000);
         }
         // The process may be killed this long after; by then all are answered whose answers can be written.
-        rig.advance(KILLED_AFTER + 2_000_000);
+        rig.advance(KILL_DELAY + 2_000_000);
         rig.decide();
         let state = &rig.router.state;
         assert_eq!(state.queries.open_count(), 0, "seed {seed}: a query without an answer");
--- a/crates/query-router/src/router/tests/mod.rs
+++ b/crates/query-router/src/router/tests/mod.rs
@@ -16,7 +16,7 @@
 use crate::io::{ConnectionId, Effect, Event};
 use crate::protocol::frames;
 use crate::router::Router;
-use crate::router::shutdown::{ACCEPTING_FOR, KILLED_AFTER};
+use crate::router::shutdown::{IDLE_CLOSE_DELAY, KILL_DELAY};
 use balancer::{Actions, AttemptId, AttemptNumber, EndpointUpdate, NodeId, ShardRequestId};
 use rig::{CONFIG, DISCOVERY_PORT, FollowUp, Outgoing, Peers, RecordingPeers, Rig, START, frame, post};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/query-router/src/router/tests/shutdown.rs
+++ b/crates/query-router/src/router/tests/shutdown.rs
@@ -12,7 +12,7 @@
     rig.receive(late, b"GET /-/ready HTTP/1.1\r\n\r\n");
     assert!(rig.written(late).starts_with("HTTP/1.1 503") && rig.written(late).contains("Connection: close"));
     assert_eq!(rig.peers.half_closed, [late]);
-    rig.pass(ACCEPTING_FOR);
+    rig.pass(IDLE_CLOSE_DELAY);
     assert_eq!((&rig.peers.half_closed[..], rig.exit), (&[late, idle][..], false));
     rig.end(late, 0);
     rig.end(idle, 0);
