--- /dev/null
+++ b/crates/query-router/src/router/clients/requests.rs
@@ -0,0 +1,136 @@
+//! Requests of clients: queries are accepted, everything else is answered at once.
+
+use super::{AcceptedQuery, Clients};
+use crate::io::{ConnectionId, Effect};
+use crate::protocol::http::{self, Request};
+use crate::router::connection::client::ClientState;
+use crate::router::context::Context;
+use crate::router::query_table::QueryTable;
+use balancer::{Micros, QueryArrival};
+
+impl Clients {
+    /// Reads a request from the bytes that a client has sent. Returns its query if it holds one that is accepted.
+    pub(super) fn read_request(
+        &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
+    ) -> Option<AcceptedQuery> {
+        match http::parse_request(bytes) {
+            Ok(Some(request)) => {
+                context.connections.client_mut(id).close_after_answer = request.closes_connection;
+                self.consume(context, id, request.encoded_length);
+                context.set_connection_timer(id, None);
+                self.handle_request(context, queries, id, &request)
+            }
+            Ok(None) if self.is_over_memory() => {
+                context.counters.requests_over_memory += 1;
+                let reason = "too much has come of requests that are not whole";
+                self.reject_unread(context, id, bytes.len(), 503, reason);
+                None
+            }
+            Ok(None) => {
+                self.handle_incomplete_request(context, id, bytes);
+                None
+            }
+            Err(error) => {
+                context.counters.requests_invalid += 1;
+                self.reject_unread(context, id, bytes.len(), error.status(), &error.to_string());
+                None
+            }
+        }
+    }
+
+    /// Rejects a request that is not read in full; the connection cannot be used afterwards.
+    fn reject_unread(
+        &mut self, context: &mut Context, id: ConnectionId, length: usize, status: u16, reason: &str,
+    ) {
+        context.connections.client_mut(id).close_after_answer = true;
+        self.consume(context, id, length);
+        self.replies.reply_line(context, id, status, reason);
+    }
+
+    /// Handles a request that was received in part.
+    fn handle_incomplete_request(&self, context: &mut Context, id: ConnectionId, bytes: &[u8]) {
+        let client = context.connections.client_mut(id);
+        if client.without_request() && !bytes.is_empty() {
+            client.state = ClientState::ReceivingRequest;
+            let answer_deadline = context.shutdown.answer_deadline().unwrap_or(Micros::MAX);
+            let deadline = answer_deadline.min(context.now + self.replies.longest_deadline);
+            context.set_connection_timer(id, Some(deadline));
+        }
+        if http::expects_continue(bytes) {
+            let interim = b"HTTP/1.1 100 Continue\r\n\r\n"[..].into();
+            context.effects.push(Effect::Write { connection: id, buffers: vec![interim] });
+        }
+    }
+
+    /// Handles a complete request: accepts a query, and answers everything else.
+    fn handle_request(
+        &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
+    ) -> Option<AcceptedQuery> {
+        let path = request.path.split('?').next().unwrap_or("");
+        let allowed_method = match path {
+            "/api" => "POST",
+            "/-/ready" | "/-/healthy" | "/-/counters" => "GET",
+            _ => {
+                self.replies.reply_line(context, id, 404, "nothing is served under this path");
+                return None;
+            }
+        };
+        if request.method != allowed_method {
+            self.replies.reply_line(context, id, 405, &format!("this path takes {allowed_method}"));
+            return None;
+        }
+        match path {
+            "/-/ready" if context.shutdown.has_begun() => self.replies.reply_line(context, id, 503, "ending"),
+            "/-/counters" => {
+                let lines = context.counters.lines();
+                self.replies.reply(context, id, 200, "text/plain", lines.into_bytes(), None);
+            }
+            "/api" => return self.accept_query(context, queries, id, request),
+            _ => self.replies.reply_line(context, id, 200, "OK"),
+        }
+        None
+    }
+
+    /// Adds a query to those in progress, or rejects it.
+    fn accept_query(
+        &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
+    ) -> Option<AcceptedQuery> {
+        let query = match self.vocabulary.parse(request) {
+            Ok(_) if queries.contains(request.trace_id) => {
+                let reason = "a retrieval with this X-Trace-Id is in hand";
+                self.reject_invalid(context, id, reason);
+                return None;
+            }
+            Ok(query) => query,
+            Err(error) => {
+                self.reject_invalid(context, id, &error.to_string());
+                return None;
+            }
+        };
+        if self.max_in_flight.is_some_and(|max| queries.open_count() >= max) {
+            context.counters.queries_over_limit += 1;
+            self.replies.reply_line(context, id, 503, "too many retrievals are in hand");
+            return None;
+        }
+        let deadline = context.now + query.deadline;
+        let deadline = context.shutdown.answer_deadline().map_or(deadline, |latest| latest.min(deadline));
+        context.counters.queries_accepted += 1;
+        let query_id = queries.add_query(request.trace_id, id, deadline, query.text);
+        context.connections.client_mut(id).state = ClientState::AwaitingAnswer(query_id);
+        let arrival = QueryArrival {
+            query: query_id,
+            class: query.class,
+            tenant: query.tenant,
+            deadline,
+            work: query.shards.iter().map(|shard| shard.work).sum(),
+            shard_requests: query.shards.len(),
+            is_retry: request.is_retry,
+        };
+        Some(AcceptedQuery { arrival, shards: query.shards })
+    }
+
+    fn reject_invalid(&self, context: &mut Context, id: ConnectionId, reason: &str) {
+        context.counters.requests_invalid += 1;
+        self.replies.reply_line(context, id, 400, reason);
+    }
+}
--- a/crates/query-router/src/router/connection/mod.rs
+++ b/crates/query-router/src/router/connection/mod.rs
@@ -3,6 +3,7 @@
 pub mod client;
 pub mod discovery;
 pub mod node;
+pub mod outgoing_queue;
 
 use crate::io::ConnectionId;
 use balancer::Micros;
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -1,5 +1,6 @@
 //! The state of a node connection: what is queued for it, what is in flight on it, and whether it can be reused.
 
+use crate::router::connection::outgoing_queue::{HealthCheckKind, OutgoingFrame, OutgoingQueue};
 use balancer::{AttemptId, Micros, NodeId};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -45,26 +46,6 @@
     MalformedResponse(AttemptId),
 }
 
-/// What a health check asks for.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum HealthCheckKind {
-    /// Whether the node is well.
-    Health,
-    /// Its load, where health checks report the load.
-    Load,
-}
-
-/// Something to be written to a data node.
-#[derive(Debug)]
-pub enum OutgoingFrame {
-    /// The attempts of one batch.
-    Batch(Vec<AttemptId>),
-    /// The shard request with this id is cancelled.
-    Cancellation(Rc<str>),
-    /// A health check.
-    HealthCheck(HealthCheckKind),
-}
-
 /// An attempt that was handed to the event loop.
 #[derive(Debug)]
 pub struct InFlight {
@@ -96,8 +77,7 @@
     establishment: Establishment,
     /// Since when it counts as idle, if it is idle.
     idle_from: Micros,
-    /// Frames of which no byte is written: they can still be removed.
-    queue: VecDeque<OutgoingFrame>,
+    queue: OutgoingQueue,
     /// How many bytes were handed to the event loop.
     bytes_handed_over: u64,
     /// How many of them are known to be written.
@@ -129,7 +109,7 @@
             address,
             establishment: Establishment::Connecting { since: now },
             idle_from: now,
-            queue: VecDeque::new(),
+            queue: OutgoingQueue::default(),
             bytes_handed_over: 0,
             bytes_flushed: 0,
             in_flight: Vec::new(),
@@ -198,7 +178,7 @@
 
     /// The number of attempts that are queued or in flight.
     pub fn load(&self) -> usize {
-        self.in_flight.len() + self.queued_attempts().count()
+        self.in_flight.len() + self.queue.attempts().count()
     }
 
     /// Notes that the event loop has written everything that was handed to it.
@@ -211,23 +191,14 @@
         self.bytes_flushed >= self.bytes_handed_over
     }
 
-    /// Whether no frame is queued.
-    pub fn is_queue_empty(&self) -> bool {
-        self.queue.is_empty()
-    }
-
-    /// Removes and returns the first queued frame.
-    pub fn pop_queued(&mut self) -> Option<OutgoingFrame> {
-        self.queue.pop_front()
+    /// The frames of which no byte is written.
+    pub fn queue(&self) -> &OutgoingQueue {
+        &self.queue
     }
 
-    /// The attempts in queued frames.
-    pub fn queued_attempts(&self) -> impl Iterator<Item = AttemptId> + '_ {
-        let batches = self.queue.iter().filter_map(|frame| match frame {
-            OutgoingFrame::Batch(attempts) => Some(attempts),
-            _ => None,
-        });
-        batches.flatten().copied()
+    /// The frames of which no byte is written.
+    pub fn queue_mut(&mut self) -> &mut OutgoingQueue {
+        &mut self.queue
     }
 
     /// Whether the node may send something although nothing more is sent to it.
@@ -242,7 +213,7 @@
 
     /// Queues a batch.
     pub fn queue_batch(&mut self, attempts: Vec<AttemptId>) {
-        self.queue.push_back(OutgoingFrame::Batch(attempts));
+        self.queue.push(OutgoingFrame::Batch(attempts));
     }
 
     /// Queues a health check that must be answered by `deadline`. Returns its deadline, which is later if the one
@@ -250,7 +221,7 @@
     pub fn queue_health_check(&mut self, kind: HealthCheckKind, deadline: Micros) -> Micros {
         let last_deadline = self.health_check_deadlines.back();
         let deadline = last_deadline.map_or(deadline, |last| deadline.max(last + 1));
-        self.queue.push_back(OutgoingFrame::HealthCheck(kind));
+        self.queue.push(OutgoingFrame::HealthCheck(kind));
         self.health_check_deadlines.push_back(deadline);
         deadline
     }
@@ -260,34 +231,6 @@
         self.health_check_deadlines.pop_front()
     }
 
-    /// The attempts of the first queued batch.
-    pub fn first_queued_batch(&self) -> Option<&[AttemptId]> {
-        self.queue.iter().find_map(|frame| match frame {
-            OutgoingFrame::Batch(attempts) => Some(attempts.as_slice()),
-            _ => None,
-        })
-    }
-
-    /// Removes the first queued batch and returns its attempts.
-    pub fn take_first_queued_batch(&mut self) -> Option<Vec<AttemptId>> {
-        let index = self.queue.iter().position(|frame| matches!(frame, OutgoingFrame::Batch(_)))?;
-        match self.queue.remove(index) {
-            Some(OutgoingFrame::Batch(attempts)) => Some(attempts),
-            _ => None,
-        }
-    }
-
-    /// Removes an attempt from the queued frames.
-    pub fn remove_queued(&mut self, attempt: AttemptId) {
-        self.queue.retain_mut(|frame| match frame {
-            OutgoingFrame::Batch(attempts) => {
-                attempts.retain(|&queued| queued != attempt);
-                !attempts.is_empty()
-            }
-            _ => true,
-        });
-    }
-
     /// Cancels an attempt; a cancellation is queued for one that was written. Keeps the ids of at most `max_abandoned`
     /// shard requests to which a response may still come. `unanswered_since` is when the attempt was requested if its
     /// response should have come by now. Guards against a connection that fell silent while its node is well: one that
@@ -297,7 +240,7 @@
         unanswered_since: Option<Micros>,
     ) -> SendProgress {
         let Some(index) = self.in_flight.iter().position(|sent| sent.attempt == attempt) else {
-            self.remove_queued(attempt);
+            self.queue.remove(attempt);
             return SendProgress::NotSent;
         };
         if self.in_flight[index].end_offset > self.bytes_flushed {
@@ -312,7 +255,7 @@
             self.abandoned.pop_front();
         }
         self.abandoned.push_back(request_id.clone());
-        self.queue.push_back(OutgoingFrame::Cancellation(request_id.clone()));
+        self.queue.push(OutgoingFrame::Cancellation(request_id.clone()));
         SendProgress::Sent
     }
 
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -2,7 +2,8 @@
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
-use crate::router::connection::node::{Establishment, HealthCheckKind, SendProgress};
+use crate::router::connection::node::{Establishment, SendProgress};
+use crate::router::connection::outgoing_queue::HealthCheckKind;
 use crate::router::context::Context;
 use crate::router::node_connections;
 use crate::router::query_table::QueryTable;
@@ -172,7 +173,7 @@
             if ready && address == Some(connection.address) {
                 continue;
             }
-            let queued: Vec<AttemptId> = connection.queued_attempts().collect();
+            let queued: Vec<AttemptId> = connection.queue().attempts().collect();
             for attempt in queued {
                 self.cancel(context, queries, attempt, AttemptOutcome::NotSent);
             }
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -84,7 +84,7 @@
     let connection = context.connections.node_mut(id);
     let was_established = connection.is_established();
     let cause = connection.close_cause();
-    let queued: Vec<AttemptId> = connection.queued_attempts().collect();
+    let queued: Vec<AttemptId> = connection.queue().attempts().collect();
     let in_flight = connection.take_in_flight();
     // An established connection that ends before a frame is written does not prove that its node is unreachable.
     let (not_written, check_outcome) = if was_established {
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -11,7 +11,7 @@
 pub use write::write;
 
 use crate::io::{ConnectionId, Effect};
-use crate::router::connection::node::HealthCheckKind;
+use crate::router::connection::outgoing_queue::HealthCheckKind;
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use crate::router::timers::Timer;
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -72,7 +72,7 @@
         .connections
         .nodes()
         .filter(|(_, connection)| !connection.is_established())
-        .filter(|(_, connection)| connection.queued_attempts().next().is_some())
+        .filter(|(_, connection)| connection.queue().attempts().next().is_some())
         .map(|(id, connection)| (id, connection.node))
         .collect();
     let mut receivers = Vec::new();
@@ -88,12 +88,12 @@
 fn reassign_batch(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, node: NodeId,
 ) -> Option<ConnectionId> {
-    let ids = queries.ids(context.connections.node_mut(id).first_queued_batch()?);
+    let ids = queries.ids(context.connections.node_mut(id).queue().first_batch()?);
     let candidate = best_connection(context, queries, node, &ids)?;
     if candidate.suitability != Suitability::Idle {
         return None;
     }
-    let attempts = context.connections.node_mut(id).take_first_queued_batch()?;
+    let attempts = context.connections.node_mut(id).queue_mut().take_first_batch()?;
     context.counters.batches_reassigned += 1;
     queue_batch(context, queries, candidate.connection, attempts);
     Some(candidate.connection)
@@ -116,7 +116,7 @@
     // Guards against a response that arrives behind an incomplete frame.
     let has_stray_partial_frame = idle_since.is_some() && connection.partial_frame().is_some();
     let is_queued = |id: &Rc<str>| {
-        connection.queued_attempts().any(|attempt| queries.shard_request(attempt.shard_request).id == *id)
+        connection.queue().attempts().any(|attempt| queries.shard_request(attempt.shard_request).id == *id)
     };
     let carries = |id: &Rc<str>| connection.may_answer(id) || is_queued(id);
     !has_stray_partial_frame
--- a/crates/query-router/src/router/node_connections/write.rs
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -3,7 +3,8 @@
 use super::lifecycle::set_timer;
 use crate::io::{Bytes, ConnectionId, Effect, ExpectedInput};
 use crate::protocol::frames::{self, FrameKind};
-use crate::router::connection::node::{HealthCheckKind, InFlight, NodeConnection, OutgoingFrame};
+use crate::router::connection::node::InFlight;
+use crate::router::connection::outgoing_queue::{HealthCheckKind, OutgoingFrame};
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use balancer::{AttemptId, AttemptOutcome, Micros};
@@ -12,23 +13,23 @@
 /// Hands the queued frames of a connection to the event loop, unless earlier ones are still being written.
 pub fn write(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let Some(connection) = context.connections.node(id) else { return };
-    if !connection.is_established() || !connection.is_flushed() || connection.is_queue_empty() {
+    if !connection.is_established() || !connection.is_flushed() || connection.queue().is_empty() {
         return;
     }
     cancel_expired(context, queries, id);
     let connection = context.connections.node_mut(id);
-    if connection.is_queue_empty() {
+    if connection.queue().is_empty() {
         return;
     }
     // Guards against sending a batch after the node has announced that it closes, or behind an incomplete frame.
-    let carries_attempts = connection.queued_attempts().next().is_some();
+    let carries_attempts = connection.queue().attempts().next().is_some();
     let expected = if carries_attempts && !connection.awaits_response() {
         ExpectedInput::Nothing
     } else {
         ExpectedInput::Response
     };
     let mut buffers: Vec<Bytes> = Vec::new();
-    while let Some(frame) = context.connections.node_mut(id).pop_queued() {
+    while let Some(frame) = context.connections.node_mut(id).queue_mut().pop() {
         encode(context, queries, id, frame, &mut buffers);
     }
     context.effects.push(Effect::WriteIfOpen { connection: id, buffers, expected });
@@ -81,10 +82,13 @@
         queries.attempt(*attempt).is_some_and(|attempt| attempt.deadline <= context.now)
     };
     let connection = context.connections.node(id);
-    let expired: Vec<AttemptId> =
-        connection.into_iter().flat_map(NodeConnection::queued_attempts).filter(has_expired).collect();
+    let expired: Vec<AttemptId> = connection
+        .into_iter()
+        .flat_map(|connection| connection.queue().attempts())
+        .filter(has_expired)
+        .collect();
     for attempt in expired {
-        context.connections.node_mut(id).remove_queued(attempt);
+        context.connections.node_mut(id).queue_mut().remove(attempt);
         queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent);
     }
 }
