--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -4,7 +4,7 @@
 //! This module routes events to the components and their results to the balancer. A component uses neither the balancer
 //! nor any component above it. From the bottom: `timers`, `shutdown`, `endpoints` and `connection` (states alone);
 //! `context` (the state that all share); `query_table`; `node_connections`; `dispatch`, `clients` and `discovery`;
-//! `state` (the components together, as the balancer acts on them).
+//! `state` (the components together, as the balancer acts on them); `reports` (what is reported to the balancer).
 
 mod clients;
 mod connection;
@@ -14,6 +14,7 @@
 mod endpoints;
 mod node_connections;
 mod query_table;
+mod reports;
 mod shutdown;
 mod state;
 mod timers;
@@ -24,17 +25,10 @@
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::io::{ConnectionId, Effect, Event};
-use crate::protocol::query_request::RequestedShard;
-use balancer::{
-    AttemptEnd, AttemptOutcome, Balancer, EndpointUpdate, Events, HealthCheckEnd, LoadMetric, Micros, NodeId,
-    ShardRequestArrival,
-};
-use clients::AcceptedQuery;
+use balancer::{AttemptOutcome, Balancer, EndpointUpdate, Events, Micros};
 use connection::ConnectionKind;
 use connection::discovery::{BodyProgress, EndpointList};
 use discovery::RequestEnd;
-use node_connections::NodeReport;
-use query_table::FinishedAttempt;
 use state::State;
 use timers::Timer;
 
@@ -43,7 +37,7 @@
     balancer: Balancer,
     state: State,
     /// Whether something was reported to the balancer since its last decision.
-    decision_due: bool,
+    decision_needed: bool,
     last_decision_at: Micros,
     /// The time of the last [`Effect::WakeAt`].
     wake_at: Option<Micros>,
@@ -55,7 +49,7 @@
         let mut router = Router {
             balancer: Balancer::new(config.seed, config.settings.clone()),
             state: State::new(config, now),
-            decision_due: true,
+            decision_needed: true,
             last_decision_at: 0,
             wake_at: None,
         };
@@ -112,7 +106,7 @@
         // Guards against deciding after each event: the balancer then sent several times as many hedged attempts, which
         // overloaded nodes with just enough capacity.
         let interval_is_over = now >= self.last_decision_at + self.state.context.limits.decision_interval;
-        if interval_is_over && std::mem::take(&mut self.decision_due) {
+        if interval_is_over && std::mem::take(&mut self.decision_needed) {
             self.last_decision_at = now;
             self.state.context.counters.decisions += 1;
             self.balancer.decide(now, &mut self.state);
@@ -135,9 +129,9 @@
     /// Asks for [`Event::TimerExpired`] at the time of the first timer, or of the next decision if one is needed.
     fn update_wake(&mut self) {
         let State { context, queries, discovery, .. } = &mut self.state;
-        let decision_due =
-            self.decision_due || queries.has_pending_outcomes() || discovery.has_unreported_failures();
-        let decision_at = decision_due.then_some(self.last_decision_at + context.limits.decision_interval);
+        let decision_needed =
+            self.decision_needed || queries.has_pending_outcomes() || discovery.has_unreported_failures();
+        let decision_at = decision_needed.then_some(self.last_decision_at + context.limits.decision_interval);
         let next = context.timers.next_at().into_iter().chain(decision_at).min();
         if std::mem::replace(&mut self.wake_at, next) != next {
             context.effects.push(Effect::WakeAt(next));
@@ -206,7 +200,7 @@
         match timer {
             Timer::Balancer(token) => {
                 self.balancer.timer_expired(context.now, token);
-                self.decision_due = true;
+                self.decision_needed = true;
             }
             Timer::AttemptTimeout(attempt) => {
                 dispatcher.cancel(context, queries, attempt, AttemptOutcome::TimedOut);
@@ -255,19 +249,6 @@
         }
     }
 
-    /// Reports a query and its shard requests to the balancer.
-    fn report_query(&mut self, accepted: AcceptedQuery) {
-        let AcceptedQuery { arrival, shards } = accepted;
-        let now = self.state.context.now;
-        self.balancer.query_arrived(now, &arrival);
-        for RequestedShard { shard, weight, work } in shards {
-            let shard_request = self.state.queries.add_shard_request(arrival.query, shard);
-            let request = ShardRequestArrival { shard_request, query: arrival.query, shard, weight, work };
-            self.balancer.shard_request_arrived(now, &request);
-        }
-        self.decision_due = true;
-    }
-
     /// Handles the disconnect of a client, whose query needs no answer any more.
     fn client_ended(&mut self, id: ConnectionId) {
         let State { context, queries, clients, dispatcher, .. } = &mut self.state;
@@ -276,7 +257,7 @@
             dispatcher.cancel_unwritten(context, queries, query);
             context.counters.queries_abandoned_by_client += 1;
             self.balancer.client_disconnected(context.now, query);
-            self.decision_due = true;
+            self.decision_needed = true;
         }
         clients.close(context, id);
     }
@@ -291,41 +272,6 @@
         }
     }
 
-    /// Reports to the balancer what happened on a node connection.
-    fn report(&mut self, report: NodeReport) {
-        match report {
-            NodeReport::Attempt { finished, load } => self.report_attempt(&finished, &load),
-            NodeReport::HealthCheck { finished, load } => {
-                let end = HealthCheckEnd {
-                    node: finished.node,
-                    outcome: finished.outcome,
-                    latency: finished.latency,
-                    load: &load,
-                };
-                self.balancer.health_check_ended(self.state.context.now, &end);
-                self.decision_due = true;
-            }
-        }
-    }
-
-    fn report_all<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
-        for report in reports {
-            self.report(report);
-        }
-    }
-
-    fn report_attempt(&mut self, finished: &FinishedAttempt, load: &[LoadMetric]) {
-        let end = AttemptEnd {
-            attempt: finished.attempt,
-            node: finished.node,
-            outcome: finished.outcome,
-            latency: finished.latency,
-            load,
-        };
-        self.balancer.attempt_ended(self.state.context.now, &end);
-        self.decision_due = true;
-    }
-
     /// Reads a response of discovery and applies each update as soon as it is complete.
     fn discovery_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let State { context, discovery, .. } = &mut self.state;
@@ -365,27 +311,4 @@
             RequestEnd::Failed => self.report_discovery_failure(),
         }
     }
-
-    fn report_discovery_failure(&mut self) {
-        let now = self.state.context.now;
-        self.balancer.endpoint_update_started(now, EndpointUpdate::Failed);
-        self.balancer.endpoint_update_finished(now, &mut self.state);
-        self.decision_due = true;
-    }
-
-    /// Applies an endpoint list and reports it to the balancer entry by entry.
-    fn apply_endpoint_list(&mut self, list: &EndpointList) {
-        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
-        let now = context.now;
-        let endpoints = discovery.store(context, list);
-        self.balancer.endpoint_update_started(now, list.update);
-        for endpoint in &endpoints {
-            self.balancer.endpoint_listed(now, endpoint);
-        }
-        for node in 0..context.endpoints.len() {
-            dispatcher.apply_endpoint(context, queries, NodeId(node));
-        }
-        self.balancer.endpoint_update_finished(now, &mut self.state);
-        self.decision_due = true;
-    }
 }
--- /dev/null
+++ b/crates/query-router/src/router/reports.rs
@@ -0,0 +1,86 @@
+//! Reports to the balancer. Each asks for a decision.
+
+use crate::protocol::query_request::RequestedShard;
+use crate::router::Router;
+use crate::router::clients::AcceptedQuery;
+use crate::router::connection::discovery::EndpointList;
+use crate::router::node_connections::NodeReport;
+use crate::router::query_table::FinishedAttempt;
+use crate::router::state::State;
+use balancer::{AttemptEnd, EndpointUpdate, Events, HealthCheckEnd, LoadMetric, NodeId, ShardRequestArrival};
+
+impl Router {
+    /// Reports a query and its shard requests to the balancer.
+    pub(super) fn report_query(&mut self, accepted: AcceptedQuery) {
+        let AcceptedQuery { arrival, shards } = accepted;
+        let now = self.state.context.now;
+        self.balancer.query_arrived(now, &arrival);
+        for RequestedShard { shard, weight, work } in shards {
+            let shard_request = self.state.queries.add_shard_request(arrival.query, shard);
+            let request = ShardRequestArrival { shard_request, query: arrival.query, shard, weight, work };
+            self.balancer.shard_request_arrived(now, &request);
+        }
+        self.decision_needed = true;
+    }
+
+    /// Reports to the balancer what happened on a node connection.
+    pub(super) fn report(&mut self, report: NodeReport) {
+        match report {
+            NodeReport::Attempt { finished, load } => self.report_attempt(&finished, &load),
+            NodeReport::HealthCheck { finished, load } => {
+                let end = HealthCheckEnd {
+                    node: finished.node,
+                    outcome: finished.outcome,
+                    latency: finished.latency,
+                    load: &load,
+                };
+                self.balancer.health_check_ended(self.state.context.now, &end);
+                self.decision_needed = true;
+            }
+        }
+    }
+
+    /// Reports to the balancer what happened on node connections, in order.
+    pub(super) fn report_all<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
+        for report in reports {
+            self.report(report);
+        }
+    }
+
+    /// Reports the end of an attempt to the balancer.
+    pub(super) fn report_attempt(&mut self, finished: &FinishedAttempt, load: &[LoadMetric]) {
+        let end = AttemptEnd {
+            attempt: finished.attempt,
+            node: finished.node,
+            outcome: finished.outcome,
+            latency: finished.latency,
+            load,
+        };
+        self.balancer.attempt_ended(self.state.context.now, &end);
+        self.decision_needed = true;
+    }
+
+    /// Reports a failed request to discovery to the balancer.
+    pub(super) fn report_discovery_failure(&mut self) {
+        let now = self.state.context.now;
+        self.balancer.endpoint_update_started(now, EndpointUpdate::Failed);
+        self.balancer.endpoint_update_finished(now, &mut self.state);
+        self.decision_needed = true;
+    }
+
+    /// Applies an endpoint list and reports it to the balancer entry by entry.
+    pub(super) fn apply_endpoint_list(&mut self, list: &EndpointList) {
+        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
+        let now = context.now;
+        let endpoints = discovery.store(context, list);
+        self.balancer.endpoint_update_started(now, list.update);
+        for endpoint in &endpoints {
+            self.balancer.endpoint_listed(now, endpoint);
+        }
+        for node in 0..context.endpoints.len() {
+            dispatcher.apply_endpoint(context, queries, NodeId(node));
+        }
+        self.balancer.endpoint_update_finished(now, &mut self.state);
+        self.decision_needed = true;
+    }
+}
--- a/crates/query-router/src/router/tests/clients.rs
+++ b/crates/query-router/src/router/tests/clients.rs
@@ -40,12 +40,17 @@
 }
 
 #[test]
-fn an_endless_request_and_an_unread_answer_time_out() {
+fn a_request_that_is_never_complete_times_out() {
     let mut rig = Rig::new();
     let client = rig.client();
     rig.receive(client, b"POST /api HT");
     rig.pass(4_000_000);
     assert!(rig.written(client).starts_with("HTTP/1.1 408") && rig.peers.closed.contains(&client));
+}
+
+#[test]
+fn an_answer_that_is_not_read_times_out() {
+    let mut rig = Rig::new();
     rig.peers.writes_stall = true;
     let client = rig.client();
     rig.receive(client, b"GET /-/ready HTTP/1.1\r\n\r\n");
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -2,37 +2,55 @@
 
 use super::*;
 
-#[test]
-fn a_watch_is_read_however_its_bytes_are_split_and_is_restarted_when_silent() {
+/// What a watch sends in the tests below: an update in two chunks that drains node `b`, and a blank line.
+fn watch_response() -> String {
     let line = r#"{"revision":43,"complete":false,"members":[{"id":"b","host_port":"127.0.0.1:72",
         "locality":"z","cell":0,"phase":"draining","size":1.0,"up_since_ms":0}]}"#;
     let line = line.replace('\n', "") + "\n\n";
     let (begin, end) = line.split_at(30);
-    let text = format!(
+    format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{begin}\r\n{:x}\r\n{end}\r\n",
         begin.len(),
         end.len()
-    );
-    for split in 0..text.len() {
-        let mut rig = Rig::new();
-        let watch = rig.peers.outgoing[0].id;
-        rig.step(Event::Established(watch));
-        assert!(rig.written(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
-        // Bytes that were not consumed are reported again.
-        let mut left = Vec::new();
-        for piece in [&text.as_bytes()[..split], &text.as_bytes()[split..]] {
-            left.extend_from_slice(piece);
-            rig.router.step(START, Event::Received { connection: watch, bytes: &left });
-            for effect in rig.router.take_effects() {
-                if let Effect::Consume { count, .. } = effect {
-                    left.drain(..count);
-                }
+    )
+}
+
+/// A router whose watch has sent [`watch_response`] in two pieces, the watch, and how many bytes were not consumed.
+fn watch_that_has_answered(split: usize) -> (Rig<RecordingPeers>, ConnectionId, usize) {
+    let text = watch_response();
+    let mut rig = Rig::new();
+    let watch = rig.peers.outgoing[0].id;
+    rig.step(Event::Established(watch));
+    assert!(rig.written(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
+    // Bytes that were not consumed are reported again.
+    let mut left = Vec::new();
+    for piece in [&text.as_bytes()[..split], &text.as_bytes()[split..]] {
+        left.extend_from_slice(piece);
+        rig.router.step(START, Event::Received { connection: watch, bytes: &left });
+        for effect in rig.router.take_effects() {
+            if let Effect::Consume { count, .. } = effect {
+                left.drain(..count);
             }
         }
-        let ready: Vec<bool> =
-            rig.router.state.context.endpoints.records().iter().map(|record| record.ready).collect();
-        assert_eq!((ready, left.len()), (vec![true, false], 0), "split at {split}");
-        // A watch that was well is restarted as soon as it counts as silent.
+    }
+    (rig, watch, left.len())
+}
+
+#[test]
+fn a_watch_is_read_however_its_bytes_are_split() {
+    for split in 0..watch_response().len() {
+        let (rig, _, unconsumed) = watch_that_has_answered(split);
+        let records = rig.router.state.context.endpoints.records();
+        let ready: Vec<bool> = records.iter().map(|record| record.ready).collect();
+        assert_eq!((ready, unconsumed), (vec![true, false], 0), "split at {split}");
+    }
+}
+
+#[test]
+fn a_silent_watch_is_restarted_and_never_runs_twice() {
+    for split in 0..watch_response().len() {
+        let (mut rig, watch, _) = watch_that_has_answered(split);
+        // A watch that worked is restarted as soon as it counts as silent.
         rig.pass(3_999_999);
         assert_eq!((rig.peers.outgoing[0].id, rig.router.counters().endpoint_watches_silent), (watch, 0));
         rig.pass(1);
@@ -283,7 +301,10 @@
         rig.pass(20_000_000);
         assert!(rig.router.counters().discovery_requests > requests);
     }
-    // A length that no list has is not believed, however little comes.
+}
+
+#[test]
+fn a_response_that_states_a_greater_length_than_any_list_is_rejected_at_once() {
     let mut rig = Rig::new();
     let request = rig.peers.outgoing[0].id;
     rig.step(Event::Established(request));
