--- a/crates/query-router/src/counters.rs
+++ b/crates/query-router/src/counters.rs
@@ -45,7 +45,7 @@
     queries_rejected,
     /// Queries that failed and may have been executed.
     queries_failed,
-    /// Attempts that the balancer asked for.
+    /// Attempts that the balancer requested.
     attempts_requested,
     /// Attempts that were handed to a connection for writing.
     attempts_sent,
--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -119,7 +119,7 @@
         let Some(socket) = self.socket_mut(connection) else { return };
         match socket.write_queued() {
             WriteOutcome::Flushed => self.pending_events.push_back(PendingEvent::Flushed(connection)),
-            // What came in before the connection broke is still read; its end is found there.
+            // Bytes that were received before the connection broke are still read; its end is found then.
             WriteOutcome::Failed => self.read_in_next_iteration(connection),
             WriteOutcome::NothingQueued | WriteOutcome::WouldBlock => {}
         }
--- a/crates/query-router/src/event_loop/iteration.rs
+++ b/crates/query-router/src/event_loop/iteration.rs
@@ -41,7 +41,7 @@
     }
 
     /// Handles established connections before those that are being established. Guards against a request that
-    /// goes out on a connection established in this iteration, although its client left or its node began to
+    /// goes out on a connection established in this iteration, although its client disconnected or its node began to
     /// drain in the same iteration.
     fn handle_ready_connections(&mut self) {
         let ready = std::mem::take(&mut self.ready);
@@ -92,7 +92,7 @@
                 ReadOutcome::Failed => return self.close_after_reading(connection),
             }
         }
-        // Guards against a peer that sends at full speed keeping all others waiting.
+        // Guards against a peer that sends at full speed and keeps all others waiting.
         self.read_in_next_iteration(connection);
     }
 
@@ -147,8 +147,8 @@
         self.carry_out_effects();
     }
 
-    /// Ends the loop if the router asked for it and still may. Guards against resetting a client that
-    /// connected since the listener was last looked at.
+    /// Ends the loop if the router asked for it and still has nothing to wait for. Guards against resetting a client
+    /// that connected since the listener was last looked at.
     fn exit_if_requested(&mut self) {
         if self.exit == ExitState::Requested {
             self.accept_clients();
--- a/crates/query-router/src/event_loop/pending_event.rs
+++ b/crates/query-router/src/event_loop/pending_event.rs
@@ -5,7 +5,7 @@
 /// An event that follows from an effect. It is reported to the router after the other effects of the same step.
 #[derive(Debug)]
 pub(super) enum PendingEvent {
-    /// The router asked to see once more what was received.
+    /// The router requested that unconsumed bytes are reported again.
     ReadAgain(ConnectionId),
     /// All queued output is written.
     Flushed(ConnectionId),
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -18,13 +18,13 @@
 /// How far a connection is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectState {
-    /// The connection was asked for and is not established yet.
+    /// The connection is being established.
     Connecting,
     /// Bytes may be read and written.
     Connected,
 }
 
-/// How far a connection that is being established has come.
+/// The outcome of a check whether a connection is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectProgress {
     /// Nothing is known yet.
@@ -42,7 +42,7 @@
     Received,
     /// The peer closed its side in order.
     EndOfStream,
-    /// Nothing more has come in.
+    /// Nothing more was received.
     WouldBlock,
     /// The input buffer is full; nothing was read.
     BufferFull,
@@ -68,9 +68,9 @@
 /// What the system has received on a connection and the router has not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unread {
-    /// Nothing has come in.
+    /// Nothing was received.
     Nothing,
-    /// Some bytes have come in.
+    /// Bytes were received.
     Bytes,
     /// The end of the connection, in order or by an error.
     End,
@@ -83,9 +83,9 @@
     state: ConnectState,
     /// Whether the last read stopped because the input buffer was full.
     input_full: bool,
-    /// What was received and not consumed.
+    /// The bytes that were received and not consumed.
     input: Vec<u8>,
-    /// What is to be written, in order.
+    /// The pieces to be written, in order.
     output: VecDeque<Bytes>,
     /// How many bytes of the first output piece are written.
     piece_offset: usize,
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Looks at what has come in without reading it.
+    /// Looks at the received bytes without reading them.
     pub(super) fn unread(&self) -> Unread {
         match self.stream.peek(&mut [0]) {
             Err(error) if error.kind() == ErrorKind::WouldBlock => Unread::Nothing,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Adds pieces to what is to be written.
+    /// Adds pieces to the output.
     pub(super) fn queue_output(&mut self, pieces: Vec<Bytes>) {
         self.output.extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
     }
--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -1,5 +1,5 @@
-//! What the event loop reports to the router's state machine and what the state machine asks of the event loop. Both
-//! are plain values.
+//! The events that the event loop reports to the router's state machine, and the effects that the state machine
+//! requests of the event loop. Both are plain values.
 
 use balancer::Micros;
 use std::net::SocketAddr;
@@ -12,12 +12,12 @@
 /// Bytes to be written. They are shared where several connections get the same.
 pub type Bytes = Rc<[u8]>;
 
-/// What the event loop reports.
+/// An event that the event loop reports.
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A client has connected; [`Effect::Accept`] answers it, later if the limit on descriptors is reached.
     ClientConnected,
-    /// A connection that was asked for is established.
+    /// A connection that [`Effect::Connect`] opened is established.
     Established(ConnectionId),
     /// Bytes were received on a connection.
     Received {
@@ -26,7 +26,7 @@
         /// All bytes that were received on it and are not consumed yet.
         bytes: &'a [u8],
     },
-    /// Everything that was to be written has been.
+    /// Everything that was to be written on a connection is written.
     Flushed(ConnectionId),
     /// The peer closed in order; [`Event::Ended`] follows.
     PeerClosed(ConnectionId),
@@ -37,7 +37,7 @@
         /// How many bytes were written on it in all.
         written_bytes: u64,
     },
-    /// The time of [`Effect::WakeAt`] has come.
+    /// The time of the last [`Effect::WakeAt`] is reached.
     TimerExpired,
     /// The configuration was read again and states this address of discovery.
     DiscoveryMoved(SocketAddr),
@@ -47,7 +47,7 @@
     ReportCounters,
 }
 
-/// What may come in on a connection before anything more is written on it.
+/// What the peer of a connection may send before anything more is written on the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedInput {
     /// A response, so unread bytes mean nothing.
@@ -56,7 +56,7 @@
     Nothing,
 }
 
-/// What the event loop is asked to do.
+/// An effect that the event loop is to carry out.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Give this id to the client that connected first among those without one.
@@ -94,9 +94,9 @@
         /// What the peer may have sent.
         expected: ExpectedInput,
     },
-    /// Close, unless something has come in that is not read yet; [`Event::Ended`] follows the close.
+    /// Close, unless bytes were received that are not read yet; [`Event::Ended`] follows the close.
     CloseIfIdle(ConnectionId),
-    /// Close the writing side; what comes in is still read.
+    /// Close the writing side; the connection is still read.
     CloseWrite(ConnectionId),
     /// Close without any further event about the connection.
     Close(ConnectionId),
--- a/crates/query-router/src/protocol/frames.rs
+++ b/crates/query-router/src/protocol/frames.rs
@@ -26,7 +26,7 @@
     Load,
     /// `Y`, from a node: the response to one shard request.
     Response,
-    /// `N`, from a node: it cannot use what it received and is about to close the connection.
+    /// `N`, from a node: it cannot parse a frame and is about to close the connection.
     NotUnderstood,
 }
 
--- a/crates/query-router/src/protocol/http/chunked.rs
+++ b/crates/query-router/src/protocol/http/chunked.rs
@@ -15,7 +15,7 @@
     DataEnd,
 }
 
-/// How far a decoder came.
+/// How far a body was decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkedProgress {
     /// How many of the given bytes were consumed.
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Passes on what has come of a chunk's data.
+    /// Passes on the received part of a chunk's data.
     fn decode_data(&mut self, bytes: &[u8], remaining: u64, on_data: &mut dyn FnMut(&[u8])) -> Step {
         if remaining == 0 {
             self.state = ChunkState::DataEnd;
--- a/crates/query-router/src/protocol/json_stream.rs
+++ b/crates/query-router/src/protocol/json_stream.rs
@@ -32,7 +32,7 @@
     ObjectTooLong,
 }
 
-/// Where the scanner stands.
+/// The state of the scanner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ScanState {
     /// Between objects.
@@ -46,11 +46,11 @@
     InEscape { depth: usize },
 }
 
-/// Splits a stream into objects. Each byte is looked at once, however small the pieces are that it comes in.
+/// Splits a stream into objects. Each byte is scanned once, however small the pieces are in which the stream arrives.
 #[derive(Debug, Default)]
 pub struct JsonStream {
     buffer: Vec<u8>,
-    /// How many bytes of the buffer were looked at.
+    /// How many bytes of the buffer were scanned.
     scanned: usize,
     state: ScanState,
 }
@@ -135,8 +135,8 @@
     }
 }
 
-/// The state after a byte of a string. Guards against an object that was cut off and swallows all that
-/// follows: no string goes beyond its line.
+/// The state after a byte of a string. Guards against a truncated object that swallows everything behind it: no string
+/// extends beyond its line.
 fn scan_string(byte: u8, depth: usize) -> Result<ScanState, JsonStreamError> {
     match byte {
         b'\\' => Ok(ScanState::InEscape { depth }),
--- a/crates/query-router/src/router/connection/client.rs
+++ b/crates/query-router/src/router/connection/client.rs
@@ -9,7 +9,7 @@
     New,
     /// No request is in progress; the connection may be evicted.
     Idle,
-    /// The event loop was asked to close it unless a request has come in unread.
+    /// The event loop closes it unless a request was received and not read.
     ClosingIfIdle,
     /// The start of a request was received.
     ReceivingRequest,
@@ -17,7 +17,7 @@
     AwaitingAnswer(QueryId),
     /// An answer is being written.
     SendingAnswer,
-    /// Closed for writing by this router; what still comes is discarded.
+    /// Closed for writing by this router; received bytes are discarded.
     HalfClosed,
 }
 
--- a/crates/query-router/src/router/connection/discovery.rs
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -1,4 +1,4 @@
-//! A request to discovery and its response, read as it comes in: one endpoint list, or a stream of updates.
+//! A request to discovery and its response, which is read piece by piece: one endpoint list, or a stream of updates.
 
 use crate::protocol::http::{self, BodyFraming, ChunkedDecoder, HttpError};
 use crate::protocol::json_stream::{JsonStream, JsonStreamError, JsonStreamItem, MAX_ENDPOINT_LIST_BYTES};
@@ -52,7 +52,7 @@
 /// How far a body was received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyProgress {
-    /// More is to come.
+    /// More is expected.
     Incomplete,
     /// The body is complete.
     Complete,
@@ -110,9 +110,9 @@
     chunks: ChunkedDecoder,
     /// How much of a body of known length was read.
     body_read: usize,
-    /// The body of a poll as far as it came in.
+    /// The received part of a poll's body.
     body: Vec<u8>,
-    /// The objects of a watch as far as they came in.
+    /// The received part of a watch's objects.
     objects: JsonStream,
     /// Since when an object of a watch is incomplete.
     partial_object_since: Option<Micros>,
--- a/crates/query-router/src/router/connection/mod.rs
+++ b/crates/query-router/src/router/connection/mod.rs
@@ -159,7 +159,7 @@
         })
     }
 
-    /// How many client connections the event loop was asked to close if they are idle.
+    /// The number of client connections that the event loop closes if they are idle.
     pub fn closing_if_idle(&self) -> usize {
         self.clients().filter(|(_, client)| client.state == ClientState::ClosingIfIdle).count()
     }
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -12,9 +12,9 @@
 /// Whether a node connection is established.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Establishment {
-    /// The event loop was asked to connect.
+    /// The event loop is connecting.
     Connecting {
-        /// When it was asked.
+        /// When the connection was requested.
         since: Micros,
     },
     /// It can be written to.
@@ -57,10 +57,10 @@
     pub end_offset: u64,
 }
 
-/// A frame of which only the start has come in.
+/// A frame of which only the start was received.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialFrame {
-    /// When the start came in.
+    /// When the start was received.
     pub since: Micros,
     /// The attempt in flight that it names, if any.
     pub attempt: Option<AttemptId>,
@@ -84,16 +84,16 @@
     bytes_flushed: u64,
     /// The attempts in flight, oldest first.
     in_flight: Vec<InFlight>,
-    /// The ids of the last shard requests abandoned here, to which a response may still come.
-    abandoned: VecDeque<Rc<str>>,
-    /// The id of the last shard request that was answered here.
+    /// The ids of the shard requests last cancelled on the connection, to which a response may still come.
+    cancelled: VecDeque<Rc<str>>,
+    /// The id of the shard request last answered on the connection.
     last_answered: Option<Rc<str>>,
     /// Whether further batches may be sent. False once a response came that belongs to no shard request sent here, or
     /// once an expected response did not come.
     reusable: bool,
-    /// When the last complete frame came in.
+    /// When the last complete frame was received.
     last_frame_at: Micros,
-    /// The frame that is coming in.
+    /// The frame of which only the start was received.
     partial_frame: Option<PartialFrame>,
     /// Why it ends.
     close_cause: CloseCause,
@@ -113,7 +113,7 @@
             bytes_handed_over: 0,
             bytes_flushed: 0,
             in_flight: Vec::new(),
-            abandoned: VecDeque::new(),
+            cancelled: VecDeque::new(),
             last_answered: None,
             reusable: true,
             last_frame_at: 0,
@@ -203,12 +203,12 @@
 
     /// Whether the node may send something although nothing more is sent to it.
     pub fn awaits_response(&self) -> bool {
-        !(self.in_flight.is_empty() && self.health_check_deadlines.is_empty() && self.abandoned.is_empty())
+        !(self.in_flight.is_empty() && self.health_check_deadlines.is_empty() && self.cancelled.is_empty())
     }
 
     /// Whether a response to the shard request with this id may come on the connection.
     pub fn may_answer(&self, request_id: &str) -> bool {
-        self.abandoned.iter().chain(self.in_flight.iter().map(|sent| &sent.id)).any(|id| **id == *request_id)
+        self.cancelled.iter().chain(self.in_flight.iter().map(|sent| &sent.id)).any(|id| **id == *request_id)
     }
 
     /// Queues a batch.
@@ -231,12 +231,12 @@
         self.health_check_deadlines.pop_front()
     }
 
-    /// Cancels an attempt; a cancellation is queued for one that was written. Keeps the ids of at most `max_abandoned`
+    /// Cancels an attempt; a cancellation is queued for one that was written. Keeps the ids of at most `max_cancelled`
     /// shard requests to which a response may still come. `unanswered_since` is when the attempt was requested if its
     /// response should have come by now. Guards against a connection that fell silent while its node is well: one that
     /// has received no frame since then is not reused.
     pub fn cancel(
-        &mut self, attempt: AttemptId, request_id: &Rc<str>, max_abandoned: usize,
+        &mut self, attempt: AttemptId, request_id: &Rc<str>, max_cancelled: usize,
         unanswered_since: Option<Micros>,
     ) -> SendProgress {
         let Some(index) = self.in_flight.iter().position(|sent| sent.attempt == attempt) else {
@@ -251,10 +251,10 @@
         if unanswered_since.is_some_and(|requested_at| self.last_frame_at < requested_at) {
             self.reusable = false;
         }
-        if self.abandoned.len() == max_abandoned {
-            self.abandoned.pop_front();
+        if self.cancelled.len() == max_cancelled {
+            self.cancelled.pop_front();
         }
-        self.abandoned.push_back(request_id.clone());
+        self.cancelled.push_back(request_id.clone());
         self.queue.push(OutgoingFrame::Cancellation(request_id.clone()));
         SendProgress::Sent
     }
@@ -284,18 +284,18 @@
         Some(sent.attempt)
     }
 
-    /// Notes a response to a shard request that is not in flight; one that was not abandoned here either rules out
-    /// reuse. Returns whether the response may be ignored: it may if the connection can still be reused, or if it
-    /// repeats the last response.
+    /// Notes a response to a shard request that is not in flight. Unless the shard request was cancelled on the
+    /// connection, the connection is not reused. Returns whether the response may be ignored: it may if the connection
+    /// can still be reused, or if it repeats the last response.
     pub fn ignore_late_response(&mut self, request_id: &str) -> bool {
-        let abandoned = self.abandoned.iter().position(|known| **known == *request_id);
-        if abandoned.and_then(|index| self.abandoned.remove(index)).is_none() {
+        let index = self.cancelled.iter().position(|known| **known == *request_id);
+        if index.and_then(|index| self.cancelled.remove(index)).is_none() {
             self.reusable = false;
         }
         self.reusable || self.last_answered.as_deref() == Some(request_id)
     }
 
-    /// The frame of which only the start has come in.
+    /// The frame of which only the start was received.
     pub fn partial_frame(&self) -> Option<PartialFrame> {
         self.partial_frame
     }
--- a/crates/query-router/src/router/context.rs
+++ b/crates/query-router/src/router/context.rs
@@ -25,7 +25,7 @@
     pub max_connections: usize,
     /// The most shard requests queued or in flight on one node connection.
     pub max_requests_per_connection: usize,
-    /// How long a connection may take to be established, and a frame to come in.
+    /// How long a connection may take to be established, and a frame to be received in full.
     pub connect_timeout: Micros,
     /// After how long an idle node connection is closed.
     pub idle_timeout: Micros,
@@ -62,7 +62,7 @@
     pub connections: ConnectionTable,
     /// All endpoints.
     pub endpoints: Endpoints,
-    /// How far a graceful shutdown has come.
+    /// The progress of a graceful shutdown.
     pub shutdown: Shutdown,
     /// Limits of the configuration.
     pub limits: Limits,
@@ -109,7 +109,7 @@
         Some(id)
     }
 
-    /// Closes the connection that has been idle for longest, of a client or to a node; false if none is idle.
+    /// Closes the connection that has been idle for longest, of a client or to a node. Returns false if none is idle.
     fn evict_longest_idle(&mut self) -> bool {
         let Some(id) = self.connections.longest_idle() else { return false };
         match self.connections.kind(id) {
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -22,13 +22,13 @@
 /// How the platform notifies of changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mode {
-    /// The balancer asks for the list.
+    /// The balancer requests the list with polls.
     Polled,
-    /// The router watches all the time.
+    /// The router keeps a watch for as long as it runs.
     Pushed,
 }
 
-/// The consequence of a connection to discovery that has ended or received nothing for too long.
+/// The result of a request to discovery that has ended or received nothing for too long.
 #[derive(Debug)]
 pub enum RequestEnd {
     /// A poll brought a list.
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -44,7 +44,7 @@
     {
         return Some(candidate.connection);
     }
-    // Clients may hold a third of the connections; the nodes share what is left.
+    // Clients may hold a third of the connections; the nodes share the others.
     let share = 2 * context.limits.max_connections / 3 / context.endpoints.ready_count().max(1);
     let shared = best.map(|candidate| candidate.connection);
     let share_is_used_up = context.endpoints[node].connections.len() >= share;
--- a/crates/query-router/src/router/query_table.rs
+++ b/crates/query-router/src/router/query_table.rs
@@ -53,7 +53,7 @@
 pub struct Attempt {
     /// The node that it is sent to.
     pub node: NodeId,
-    /// When the balancer asked for it.
+    /// When the balancer requested it.
     pub requested_at: Micros,
     /// When the router stops waiting for it.
     pub deadline: Micros,
--- a/crates/query-router/src/router/shutdown.rs
+++ b/crates/query-router/src/router/shutdown.rs
@@ -23,7 +23,7 @@
     ClosingIdle,
 }
 
-/// How far a graceful shutdown has come.
+/// The progress of a graceful shutdown.
 #[derive(Debug, Default)]
 pub struct Shutdown {
     phase: Phase,
--- a/crates/query-router/src/router/timers.rs
+++ b/crates/query-router/src/router/timers.rs
@@ -7,7 +7,7 @@
 /// What a timer is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The balancer asked for it, with this token.
+    /// The balancer requested it, with this token.
     Balancer(u64),
     /// An attempt times out.
     AttemptTimeout(AttemptId),
