--- a/crates/cli/tests/loopback/serving.rs
+++ b/crates/cli/tests/loopback/serving.rs
@@ -43,7 +43,7 @@
 #[test]
 fn list_of_over_a_thousand_nodes_is_served_from() {
     let node = data_node().to_string();
-    let members = (0..1_030).map(|i| member(&format!("node-{i:08}"), &node, "z", 0, "ready", 0));
+    let members = (0..1_030).map(|index| member(&format!("node-{index:08}"), &node, "z", 0, "ready", 0));
     let discovery = Discovery::start(8, members.collect());
     let router = start("many", &discovery);
     let mut client = router.connect();
@@ -74,7 +74,7 @@
     // A configuration that cannot be read any more changes nothing.
     router.signal(Signal::HUP);
     let line = router.read_log_line();
-    assert!(line.contains("the configuration stays as it was"), "{line}");
+    assert!(line.contains("configuration not reloaded"), "{line}");
 
     // Eight shard requests make two batches or more. The first head comes in pieces; the second request
     // follows at once, with its body in chunks.
--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -1,47 +1,23 @@
-//! Carrying out what the router asks of the event loop, and reporting back what came of it.
+//! Carries out the effects that the router asks for, and reports the events that follow from them.
 
+use super::pending_event::PendingEvent;
+use super::server::{ExitState, Server, print_to_stderr};
 use super::socket::{ConnectState, Socket, Unread, WriteOutcome, start_connecting};
-use super::{ExitState, Server, print_to_stderr};
-use crate::io::{Bytes, ConnectionId, Effect, Event};
+
+use crate::io::{Bytes, ConnectionId, Effect, Event, ExpectedInput};
 use calloop::generic::Generic;
 use calloop::{Interest, Mode, PostAction, Readiness};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// An event that follows from an effect. The router is told of it after the other effects of the same step.
-#[derive(Debug)]
-pub(super) enum PendingEvent {
-    /// The router asked to see once more what was received.
-    ReadAgain(ConnectionId),
-    /// All queued output is written.
-    Flushed(ConnectionId),
-    /// The connection is closed.
-    Ended {
-        /// The id that the connection had.
-        connection: ConnectionId,
-        /// How many bytes were written on it in all.
-        written_bytes: u64,
-    },
-}
-
-impl PendingEvent {
-    /// The connection that the event is about.
-    fn connection(&self) -> ConnectionId {
-        match self {
-            PendingEvent::ReadAgain(connection) | PendingEvent::Flushed(connection) => *connection,
-            PendingEvent::Ended { connection, .. } => *connection,
-        }
-    }
-}
-
 impl Server {
-    /// Tells the router of an event and carries out what it asks.
+    /// Reports an event to the router and carries out the effects that it asks for.
     pub(super) fn report_event(&mut self, event: Event) {
         self.router.step(self.clock.now(), event);
         self.carry_out_effects();
     }
 
-    /// Carries out what the router asked, and reports what came of that, until nothing is left.
+    /// Carries out the effects that the router asks for and reports the events that follow, until neither is left.
     pub(super) fn carry_out_effects(&mut self) {
         loop {
             for effect in self.router.take_effects() {
@@ -55,18 +31,18 @@
                         self.read_in_next_iteration(connection);
                     }
                     if let Some(Some(socket)) = self.sockets.get(connection.0) {
-                        self.router.step(now, Event::Received(connection, socket.input()));
+                        self.router.step(now, Event::Received { connection, bytes: socket.input() });
                     }
                 }
                 Some(PendingEvent::Flushed(connection)) => self.router.step(now, Event::Flushed(connection)),
                 Some(PendingEvent::Ended { connection, written_bytes }) => {
-                    self.router.step(now, Event::Ended(connection, written_bytes));
+                    self.router.step(now, Event::Ended { connection, written_bytes });
                 }
             }
         }
     }
 
-    /// Carries out one effect. What follows from it is queued and reported later.
+    /// Carries out one effect. Events that follow from it are queued.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Accept(connection) => {
@@ -74,18 +50,14 @@
                     self.register(connection, stream, ConnectState::Connected);
                 }
             }
-            Effect::Connect(connection, address) => self.connect(connection, address),
-            Effect::Consume(connection, count) => {
-                if let Some(socket) = self.socket_mut(connection) {
-                    socket.consume_input(count);
-                }
-            }
+            Effect::Connect { connection, address } => self.connect(connection, address),
+            Effect::Consume { connection, count } => self.consume(connection, count),
             Effect::Redeliver(connection) => {
                 self.pending_events.push_back(PendingEvent::ReadAgain(connection))
             }
-            Effect::Write(connection, pieces) => self.write(connection, pieces),
-            Effect::WriteIfOpen(connection, pieces, answer_due) => {
-                self.write_unless_ended(connection, pieces, answer_due);
+            Effect::Write { connection, buffers } => self.write(connection, buffers),
+            Effect::WriteIfOpen { connection, buffers, expected } => {
+                self.write_if_open(connection, buffers, expected);
             }
             Effect::CloseWrite(connection) => {
                 if let Some(socket) = self.socket(connection) {
@@ -94,15 +66,10 @@
             }
             Effect::Close(connection) => {
                 self.remove_socket(connection);
-                // The id may be reused, so what was to be reported of this connection is void.
+                // The id may be reused, so events of this connection must not be reported any more.
                 self.pending_events.retain(|event| event.connection() != connection);
             }
-            Effect::CloseIfIdle(connection) => {
-                // What has come in, an end too, is handled when the loop reads it.
-                if self.unread(connection) == Some(Unread::Nothing) {
-                    self.close_and_report(connection);
-                }
-            }
+            Effect::CloseIfIdle(connection) => self.close_if_idle(connection),
             Effect::Abort(connection) => self.close_and_report(connection),
             Effect::WakeAt(wake_at) => self.wake_at = wake_at,
             Effect::PrintCounters(lines) => print_to_stderr(&lines),
@@ -117,19 +84,33 @@
         }
     }
 
-    fn write(&mut self, connection: ConnectionId, pieces: Vec<Bytes>) {
+    fn consume(&mut self, connection: ConnectionId, count: usize) {
+        if let Some(socket) = self.socket_mut(connection) {
+            socket.consume_input(count);
+        }
+    }
+
+    /// Closes a connection on which nothing has come in. Unread bytes, or an unread end, are handled when the loop
+    /// reads them.
+    fn close_if_idle(&mut self, connection: ConnectionId) {
+        if self.unread(connection) == Some(Unread::Nothing) {
+            self.close_and_report(connection);
+        }
+    }
+
+    fn write(&mut self, connection: ConnectionId, buffers: Vec<Bytes>) {
         if let Some(socket) = self.socket_mut(connection) {
-            socket.queue_output(pieces);
+            socket.queue_output(buffers);
             self.write_queued(connection);
         }
     }
 
-    /// Writes, unless the peer has closed or has sent something though no answer was due: then it closes.
-    fn write_unless_ended(&mut self, connection: ConnectionId, pieces: Vec<Bytes>, answer_due: bool) {
+    /// Writes, unless the peer has closed or has sent something unexpected: then it closes the connection.
+    fn write_if_open(&mut self, connection: ConnectionId, buffers: Vec<Bytes>, expected: ExpectedInput) {
         match self.unread(connection) {
             Some(Unread::End) => self.close_and_report(connection),
-            Some(Unread::Bytes) if !answer_due => self.close_and_report(connection),
-            _ => self.write(connection, pieces),
+            Some(Unread::Bytes) if expected == ExpectedInput::Nothing => self.close_and_report(connection),
+            _ => self.write(connection, buffers),
         }
     }
 
@@ -138,7 +119,7 @@
         let Some(socket) = self.socket_mut(connection) else { return };
         match socket.write_queued() {
             WriteOutcome::Flushed => self.pending_events.push_back(PendingEvent::Flushed(connection)),
-            // What came in before the connection broke is still read; its end is found there.
+            // Bytes that were received before the connection broke are still read; its end is found then.
             WriteOutcome::Failed => self.read_in_next_iteration(connection),
             WriteOutcome::NothingQueued | WriteOutcome::WouldBlock => {}
         }
@@ -154,7 +135,7 @@
         self.ready.push((connection, Readiness { readable: true, writable: false, error: false }));
     }
 
-    /// Closes a connection and has the router told of it, once.
+    /// Closes a connection and queues the report of its end, unless it was closed before.
     pub(super) fn close_and_report(&mut self, connection: ConnectionId) {
         if let Some(socket) = self.remove_socket(connection) {
             let written_bytes = socket.written_bytes();
@@ -162,7 +143,7 @@
         }
     }
 
-    /// Has the router told that a connection could not be opened.
+    /// Queues the report that a connection could not be opened.
     fn report_unopened(&mut self, connection: ConnectionId) {
         self.pending_events.push_back(PendingEvent::Ended { connection, written_bytes: 0 });
     }
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -1,8 +1,8 @@
 //! The listening socket for clients. It is paused while an accepted stream waits for a free place, and for a
 //! short time after accepting failed.
 
-use super::ServeError;
 use super::clock::Clock;
+use super::error::ServeError;
 use balancer::Micros;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -14,14 +14,14 @@
 /// How long the listener is paused after accepting failed.
 const ACCEPT_PAUSE: Micros = 100_000;
 
-/// What an attempt to accept a connection came to.
+/// The outcome of an attempt to accept a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptOutcome {
     /// A stream was accepted and queued.
     Accepted,
     /// No client is waiting.
     NoneWaiting,
-    /// The system refused, for example for want of file descriptors.
+    /// The system call failed, for example because no file descriptor is left.
     Failed,
 }
 
@@ -31,7 +31,7 @@
     token: RegistrationToken,
     /// Whether the event loop watches the listener.
     enabled: bool,
-    /// Until when the listener stays paused because accepting failed; 0 if it did not fail last time.
+    /// When to accept again after a failure; 0 if accepting did not fail last time.
     retry_at: Micros,
     /// Streams that the router has not taken yet.
     accepted: VecDeque<TcpStream>,
@@ -82,11 +82,12 @@
                         return AcceptOutcome::Accepted;
                     }
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return AcceptOutcome::NoneWaiting,
-                Err(e) if matches!(e.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
-                Err(e) => {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return AcceptOutcome::NoneWaiting,
+                Err(error)
+                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                Err(error) => {
                     if self.retry_at == 0 {
-                        tracing::warn!(error = %e, "accepting fails, clients wait");
+                        tracing::warn!(%error, "accepting clients failed; retrying");
                     }
                     self.retry_at = clock.now() + ACCEPT_PAUSE;
                     return AcceptOutcome::Failed;
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -1,5 +1,4 @@
-//! One non-blocking connection with its buffers. It reports what the system said; what follows from that is
-//! decided elsewhere.
+//! One non-blocking connection with its buffers. It returns the outcome of each system call and decides nothing.
 
 use crate::io::Bytes;
 use crate::protocol::http::MAX_REQUEST_BYTES;
@@ -19,13 +18,13 @@
 /// How far a connection is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectState {
-    /// The connection was asked for and is not established yet.
+    /// The connection is being established.
     Connecting,
     /// Bytes may be read and written.
     Connected,
 }
 
-/// What became of a connection that was being established.
+/// The outcome of a check whether a connection is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectProgress {
     /// Nothing is known yet.
@@ -36,14 +35,14 @@
     Failed,
 }
 
-/// What one read came to.
+/// The outcome of one read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadOutcome {
     /// Bytes were added to the input buffer.
     Received,
     /// The peer closed its side in order.
     EndOfStream,
-    /// Nothing more has come in.
+    /// Nothing more was received.
     WouldBlock,
     /// The input buffer is full; nothing was read.
     BufferFull,
@@ -53,7 +52,7 @@
     Failed,
 }
 
-/// What writing the queued output came to.
+/// The outcome of writing the queued output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
     /// Nothing was queued.
@@ -66,12 +65,12 @@
     Failed,
 }
 
-/// What the system holds of a connection that was not read yet.
+/// What the system has received on a connection and the router has not read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unread {
-    /// Nothing has come in.
+    /// Nothing was received.
     Nothing,
-    /// Some bytes have come in.
+    /// Bytes were received.
     Bytes,
     /// The end of the connection, in order or by an error.
     End,
@@ -84,9 +83,9 @@
     state: ConnectState,
     /// Whether the last read stopped because the input buffer was full.
     input_full: bool,
-    /// What was received and not consumed.
+    /// The bytes that were received and not consumed.
     input: Vec<u8>,
-    /// What is to be written, in order.
+    /// The pieces to be written, in order.
     output: VecDeque<Bytes>,
     /// How many bytes of the first output piece are written.
     piece_offset: usize,
@@ -157,8 +156,8 @@
                 self.input.extend_from_slice(&buffer[..count]);
                 ReadOutcome::Received
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
-            Err(e) if e.kind() == ErrorKind::Interrupted => ReadOutcome::Interrupted,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
+            Err(error) if error.kind() == ErrorKind::Interrupted => ReadOutcome::Interrupted,
             Err(_) => ReadOutcome::Failed,
         }
     }
@@ -171,16 +170,16 @@
         }
     }
 
-    /// Looks at what has come in without reading it.
+    /// Looks at the received bytes without reading them.
     pub(super) fn unread(&self) -> Unread {
         match self.stream.peek(&mut [0]) {
-            Err(e) if e.kind() == ErrorKind::WouldBlock => Unread::Nothing,
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Unread::Nothing,
             Ok(count) if count > 0 => Unread::Bytes,
             Ok(_) | Err(_) => Unread::End,
         }
     }
 
-    /// Adds pieces to what is to be written.
+    /// Adds pieces to the output.
     pub(super) fn queue_output(&mut self, pieces: Vec<Bytes>) {
         self.output.extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
     }
@@ -193,8 +192,8 @@
         while !self.output.is_empty() {
             match self.write_once() {
                 Ok(count) => self.discard_written(count),
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return WriteOutcome::WouldBlock,
-                Err(e) if e.kind() == ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return WriteOutcome::WouldBlock,
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(_) => {
                     self.output.clear();
                     return WriteOutcome::Failed;
@@ -208,7 +207,7 @@
     fn write_once(&self) -> std::io::Result<usize> {
         let pieces = self.output.iter().take(MAX_PIECES_PER_WRITE).enumerate();
         let unwritten =
-            pieces.map(|(i, piece)| if i == 0 { &piece[self.piece_offset..] } else { &piece[..] });
+            pieces.map(|(index, piece)| if index == 0 { &piece[self.piece_offset..] } else { &piece[..] });
         let slices: Vec<IoSlice> = unwritten.map(IoSlice::new).collect();
         (&*self.stream).write_vectored(&slices)
     }
@@ -244,7 +243,7 @@
 ///
 /// # Errors
 ///
-/// What the system says if it refuses at once.
+/// The system's error if connecting fails at once.
 pub(super) fn start_connecting(address: SocketAddr) -> std::io::Result<TcpStream> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
@@ -252,6 +251,6 @@
     stream.set_nodelay(true)?;
     match net::connect(&stream, &address) {
         Ok(()) | Err(Errno::INPROGRESS) => Ok(stream),
-        Err(e) => Err(e.into()),
+        Err(error) => Err(error.into()),
     }
 }
--- a/crates/query-router/src/protocol/http/chunked.rs
+++ b/crates/query-router/src/protocol/http/chunked.rs
@@ -1,6 +1,7 @@
 //! Bodies in chunks.
 
-use super::{HttpError, MAX_HEAD_BYTES, MAX_HEADERS};
+use super::error::HttpError;
+use super::limits::{MAX_HEAD_BYTES, MAX_HEADERS};
 use httparse::Status;
 
 /// What the decoder expects next.
@@ -8,13 +9,13 @@
 enum ChunkState {
     /// The line with a chunk's size.
     Size,
-    /// Data of a chunk, of which so many bytes are still to come.
+    /// Data of a chunk, of which `remaining` bytes are still to come.
     Data { remaining: u64 },
     /// The line end behind a chunk's data.
     DataEnd,
 }
 
-/// How far a decoder came.
+/// How far a body was decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkedProgress {
     /// How many of the given bytes were consumed.
@@ -30,13 +31,13 @@
     state: ChunkState,
 }
 
-/// What one step of the decoder came to.
+/// The outcome of one step of the decoder.
 enum Step {
-    /// It consumed so many bytes and may go on.
+    /// It consumed this number of bytes and may go on.
     Consumed(usize),
     /// It needs more bytes.
     Incomplete,
-    /// It consumed so many bytes, and the body is complete.
+    /// It consumed this number of bytes, and the body is complete.
     Complete(usize),
 }
 
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Passes on what has come of a chunk's data.
+    /// Passes on the received part of a chunk's data.
     fn decode_data(&mut self, bytes: &[u8], remaining: u64, on_data: &mut dyn FnMut(&[u8])) -> Step {
         if remaining == 0 {
             self.state = ChunkState::DataEnd;
--- a/crates/query-router/src/router/clients/replies.rs
+++ b/crates/query-router/src/router/clients/replies.rs
@@ -1,4 +1,4 @@
-//! What is written to clients.
+//! Answers to clients.
 
 use crate::counters::debug_invariant;
 use crate::io::{ConnectionId, Effect};
@@ -8,7 +8,7 @@
 use crate::router::query_table::QueryTable;
 use balancer::{Completion, Micros, QueryId};
 
-/// Writes answers.
+/// Writes answers to clients.
 pub struct Replies {
     /// The longest deadline of any service class: how long a client may take to read an answer.
     pub longest_deadline: Micros,
@@ -24,7 +24,11 @@
         match completion {
             Completion::Complete | Completion::Partial => {
                 let body = queries.answer_body(query, completion);
-                debug_invariant!(context.counters, body.values > 0, "an answer has a value");
+                debug_invariant!(
+                    context.counters,
+                    body.values > 0,
+                    "a complete or partial answer has a value"
+                );
                 self.reply(context, id, 200, "application/json", body.bytes, None);
             }
             Completion::Rejected { retry_after } => {
@@ -36,12 +40,12 @@
         }
     }
 
-    /// Writes an answer; the client has as long to read it as it may wait for one.
+    /// Writes an answer. The client must read it within the longest deadline of any service class.
     pub fn reply(
         &self, context: &mut Context, id: ConnectionId, status: u16, content_type: &str, body: Vec<u8>,
         retry_after: Option<Micros>,
     ) {
-        let client = context.connections.client(id);
+        let client = context.connections.client_mut(id);
         client.state = ClientState::SendingAnswer;
         client.close_after_answer |= context.shutdown.has_begun();
         let retry_after_seconds = retry_after.map(|wait| wait as f64 / 1e6);
@@ -52,7 +56,10 @@
             retry_after_seconds,
             closes_connection: client.close_after_answer,
         };
-        context.effects.push(Effect::Write(id, vec![head.encode().into_bytes().into(), body.into()]));
+        context.effects.push(Effect::Write {
+            connection: id,
+            buffers: vec![head.encode().into_bytes().into(), body.into()],
+        });
         context.set_connection_timer(id, Some(context.now + self.longest_deadline));
     }
 
--- a/crates/query-router/src/router/connection/mod.rs
+++ b/crates/query-router/src/router/connection/mod.rs
@@ -3,6 +3,7 @@
 pub mod client;
 pub mod discovery;
 pub mod node;
+pub mod outgoing_queue;
 
 use crate::io::ConnectionId;
 use balancer::Micros;
@@ -22,7 +23,7 @@
     Discovery(DiscoveryRequest),
 }
 
-/// What a connection is for.
+/// The kind of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionKind {
     /// Of a client.
@@ -34,7 +35,7 @@
 }
 
 impl Connection {
-    /// What it is for.
+    /// The kind of the connection.
     pub fn kind(&self) -> ConnectionKind {
         match self {
             Connection::Client(_) => ConnectionKind::Client,
@@ -66,7 +67,7 @@
 }
 
 impl ConnectionTable {
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
@@ -86,37 +87,37 @@
         std::mem::replace(&mut self.slots[id.0].timer_at, at)
     }
 
-    /// What a connection is for, `None` if there is none with this id.
+    /// The kind of a connection, `None` if there is none with this id.
     pub fn kind(&self, id: ConnectionId) -> Option<ConnectionKind> {
         self.slots.get(id.0).map(|slot| slot.connection.kind())
     }
 
-    /// A client connection.
-    pub fn client(&mut self, id: ConnectionId) -> &mut ClientConnection {
+    /// The client connection with this id, which must be one.
+    pub fn client_mut(&mut self, id: ConnectionId) -> &mut ClientConnection {
         match &mut self.slots[id.0].connection {
             Connection::Client(client) => client,
             _ => unreachable!("{id:?} is a client connection"),
         }
     }
 
-    /// A node connection.
-    pub fn node(&mut self, id: ConnectionId) -> &mut NodeConnection {
+    /// The node connection with this id, which must be one.
+    pub fn node_mut(&mut self, id: ConnectionId) -> &mut NodeConnection {
         match &mut self.slots[id.0].connection {
             Connection::Node(node) => node,
             _ => unreachable!("{id:?} is a node connection"),
         }
     }
 
-    /// A node connection, if it is one.
-    pub fn as_node(&self, id: ConnectionId) -> Option<&NodeConnection> {
+    /// The node connection with this id, if it is one.
+    pub fn node(&self, id: ConnectionId) -> Option<&NodeConnection> {
         match &self.slots.get(id.0)?.connection {
             Connection::Node(node) => Some(node),
             _ => None,
         }
     }
 
-    /// A request to discovery.
-    pub fn discovery(&mut self, id: ConnectionId) -> &mut DiscoveryRequest {
+    /// The request to discovery with this id, which must be one.
+    pub fn discovery_mut(&mut self, id: ConnectionId) -> &mut DiscoveryRequest {
         match &mut self.slots[id.0].connection {
             Connection::Discovery(request) => request,
             _ => unreachable!("{id:?} is a request to discovery"),
@@ -158,7 +159,7 @@
         })
     }
 
-    /// How many client connections the event loop was asked to close if they are idle.
+    /// The number of client connections that the event loop closes if they are idle.
     pub fn closing_if_idle(&self) -> usize {
         self.clients().filter(|(_, client)| client.state == ClientState::ClosingIfIdle).count()
     }
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -6,8 +6,8 @@
 use crate::io::{ConnectionId, Effect};
 use crate::router::connection::Connection;
 use crate::router::connection::discovery::{
-    BodyProgress, DiscoveryError, DiscoveryRequest, EndpointList, HEARTBEAT_INTERVAL, RequestKind,
-    WatchMessage, parse_update,
+    DiscoveryError, DiscoveryRequest, EndpointList, HEARTBEAT_INTERVAL, RequestKind, ResponseRead,
+    WatchMessage, WatchUpdate, parse_update,
 };
 use crate::router::context::Context;
 use backoff::WatchBackoff;
@@ -16,26 +16,26 @@
 use settings_schema::EndpointEntry;
 use std::net::SocketAddr;
 
-/// After how long without a message a request counts as silent.
+/// The time without a message after which a request counts as silent.
 const SILENCE_TIMEOUT: Micros = 2 * HEARTBEAT_INTERVAL;
 
 /// How the platform notifies of changes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Mode {
-    /// The balancer asks for the list.
+    /// The balancer requests the list with polls.
     Polled,
-    /// The router watches all the time.
+    /// The router keeps a watch for as long as it runs.
     Pushed,
 }
 
-/// What a connection to discovery that has ended or fallen silent means.
+/// The result of a request to discovery that has ended or received nothing for too long.
 #[derive(Debug)]
 pub enum RequestEnd {
     /// A poll brought a list.
     List(EndpointList),
-    /// A watch that was well fell silent and has been started again.
+    /// A watch that worked received nothing for too long and has been started again.
     WatchRestarted,
-    /// It has failed; the balancer is to be told.
+    /// The request has failed, which is to be reported to the balancer.
     Failed,
 }
 
@@ -49,12 +49,12 @@
     backoff: WatchBackoff,
     /// The names of the zones, by index.
     zones: Vec<String>,
-    /// How many requests failed for want of a connection, which the balancer has not been told of.
+    /// How many requests failed because no connection could be opened and were not reported to the balancer yet.
     unreported_failures: usize,
 }
 
 impl Discovery {
-    /// As the configuration says.
+    /// Requests to the discovery of this configuration; none is sent yet.
     pub fn new(config: &Config) -> Discovery {
         let polled = config.settings.text("discovery.mode") == "polled";
         Discovery {
@@ -81,7 +81,7 @@
         self.watch = self.request(context, RequestKind::Watch);
     }
 
-    /// Ends the watch. Guards against a retry that was set for a watch before the next one, and would end that.
+    /// Ends the watch. Guards against a retry that was scheduled for an earlier watch and would replace the next one.
     pub fn stop_watch(&mut self, context: &mut Context) {
         if let Some(id) = self.watch.take() {
             context.close(id);
@@ -103,28 +103,28 @@
             self.unreported_failures += 1;
             return None;
         };
-        context.effects.push(Effect::Connect(id, self.address));
+        context.effects.push(Effect::Connect { connection: id, address: self.address });
         context.set_connection_timer(id, Some(context.now + SILENCE_TIMEOUT));
         Some(id)
     }
 
-    /// Whether there are failures that the balancer has not been told of.
+    /// Whether there are failures that were not reported to the balancer yet.
     pub fn has_unreported_failures(&self) -> bool {
         self.unreported_failures > 0
     }
 
-    /// Takes the number of failures that the balancer has not been told of.
+    /// Takes the number of failures that were not reported to the balancer yet.
     pub fn take_unreported_failures(&mut self) -> usize {
         std::mem::take(&mut self.unreported_failures)
     }
 
-    /// Moves to another address: what is in progress at the old one starts again there, so that no late answer of the
-    /// old one overwrites the new one's. Revisions of the one mean nothing to the other.
-    pub fn move_to(&mut self, context: &mut Context, address: SocketAddr) {
+    /// Changes the address. Requests in progress are closed and sent again to the new address, so that no late answer
+    /// from the old one overwrites a newer list. Revisions of the two addresses are not comparable.
+    pub fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
         if address == self.address {
             return;
         }
-        tracing::info!("discovery moves from {} to {address}", self.address);
+        tracing::info!(from = %self.address, to = %address, "discovery address changed");
         self.address = address;
         self.revision = 0;
         let polls: Vec<ConnectionId> = context.connections.polls().collect();
@@ -138,34 +138,33 @@
     /// A connection is established: sends the request.
     pub fn established(&self, context: &mut Context, id: ConnectionId) {
         let (address, revision) = (self.address, self.revision);
-        let query = match context.connections.discovery(id).kind {
+        let query = match context.connections.discovery_mut(id).kind {
             RequestKind::Watch => format!("?watch=1&after={revision}"),
             RequestKind::Poll => String::new(),
         };
         let head =
             format!("GET /api/targets{query} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
-        context.effects.push(Effect::Write(id, vec![head.into_bytes().into()]));
+        context.effects.push(Effect::Write { connection: id, buffers: vec![head.into_bytes().into()] });
     }
 
-    /// Reads on in a response: how many bytes were consumed and whether the body is complete.
+    /// Reads further bytes of a response. Returns how many were consumed and whether the body is complete.
     pub fn read(
         &self, context: &mut Context, id: ConnectionId, bytes: &[u8],
-    ) -> Result<(usize, BodyProgress), DiscoveryError> {
-        context.connections.discovery(id).read(bytes)
+    ) -> Result<ResponseRead, DiscoveryError> {
+        context.connections.discovery_mut(id).read(bytes)
     }
 
-    /// The next update that a watch has sent in full. The first message says that discovery is well, so even a blank
-    /// line counts as an update then.
+    /// The next update that a watch has sent in full. The first message proves that discovery works, so even a blank
+    /// line counts as an empty update then.
     pub fn next_update(
         &mut self, context: &mut Context, id: ConnectionId,
     ) -> Result<Option<EndpointList>, DiscoveryError> {
-        let request = context.connections.discovery(id);
+        let request = context.connections.discovery_mut(id);
         if request.kind == RequestKind::Poll {
             return Ok(None);
         }
         while let Some(message) = request.next_message()? {
-            let is_first = !std::mem::replace(&mut request.answered, true);
-            request.last_message_at = context.now;
+            let is_first = request.note_message(context.now);
             if is_first {
                 self.backoff.reset();
             }
@@ -176,65 +175,65 @@
                 WatchMessage::Heartbeat => continue,
                 WatchMessage::Update(text) => text,
             };
-            let (list, revision) = parse_update(&text)?;
-            // Guards against an update that was overtaken on its way undoing a drain.
-            let newest = request.revision;
+            let WatchUpdate { revision, list } = parse_update(&text)?;
+            // Guards against a delayed update that undoes a drain.
+            let newest = request.revision();
             if revision < newest {
                 context.counters.endpoint_lists_stale += 1;
-                tracing::warn!("revision {revision} came behind {newest} and is passed over");
+                tracing::warn!(revision, newest, "stale endpoint update skipped");
                 continue;
             }
-            request.revision = revision;
+            request.set_revision(revision);
             return Ok(Some(list));
         }
         Ok(None)
     }
 
-    /// Everything received was read. Guards against an object that was cut off, behind which a watch says nothing
-    /// that can be read: bytes that make no line and no object do not count as messages, however often they come.
-    pub fn finish_reading(
-        &self, context: &mut Context, id: ConnectionId, consumed: usize, progress: BodyProgress,
-    ) {
-        context.effects.push(Effect::Consume(id, consumed));
+    /// Notes that all received bytes were read. Guards against a truncated object, behind which nothing on a watch can
+    /// be parsed: bytes that complete neither a line nor an object do not count as messages.
+    pub fn finish_reading(&self, context: &mut Context, id: ConnectionId, read: ResponseRead) {
+        context.effects.push(Effect::Consume { connection: id, count: read.consumed });
         let now = context.now;
-        let no_progress_since = context.connections.discovery(id).note_progress(now, progress);
+        let no_progress_since = context.connections.discovery_mut(id).note_progress(now, read.progress);
         context.set_connection_timer(id, Some(no_progress_since + SILENCE_TIMEOUT));
     }
 
-    /// Discovery has closed the connection in order; its end follows.
+    /// Notes that discovery has closed the connection in order; the end of the connection follows.
     pub fn closed_by_peer(&self, context: &mut Context, id: ConnectionId) {
-        context.connections.discovery(id).closed_by_peer();
+        context.connections.discovery_mut(id).closed_by_peer();
     }
 
-    /// A request has ended, or nothing more is to be expected of it.
+    /// Handles the end of a connection, or of a response after which nothing more comes.
     pub fn ended(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
-        match context.connections.discovery(id).polled_list() {
+        match context.connections.discovery_mut(id).polled_list() {
             Some(Ok(list)) => RequestEnd::List(list),
-            Some(Err(error)) => self.invalid(context, id, &error),
-            None => self.failed(context, id),
+            Some(Err(error)) => self.reject_response(context, id, &error),
+            None => self.fail_request(context, id),
         }
     }
 
-    /// A response cannot be used.
-    pub fn invalid(&mut self, context: &mut Context, id: ConnectionId, error: &DiscoveryError) -> RequestEnd {
+    /// Handles a response that cannot be used.
+    pub fn reject_response(
+        &mut self, context: &mut Context, id: ConnectionId, error: &DiscoveryError,
+    ) -> RequestEnd {
         context.counters.endpoint_lists_invalid += 1;
-        tracing::warn!(%error, "what discovery said could not be used");
-        self.failed(context, id)
+        tracing::warn!(%error, "discovery response rejected");
+        self.fail_request(context, id)
     }
 
-    /// Nothing was received for too long. A watch that was well is started again at once, and the balancer only hears
-    /// of it if that fails: what a silent one misses counts as known soon after.
-    pub fn silent(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
-        if self.watch != Some(id) || !context.connections.discovery(id).answered {
-            return self.failed(context, id);
+    /// Handles a request on which nothing was received for too long. A watch that worked is started again at once, and
+    /// the balancer gets a report only if that fails: the updates that a silent watch missed arrive soon after.
+    pub fn timed_out(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
+        if self.watch != Some(id) || !context.connections.discovery_mut(id).has_answered() {
+            return self.fail_request(context, id);
         }
-        tracing::info!("the watch fell silent and is begun anew");
+        tracing::info!("silent endpoint watch restarted");
         context.counters.endpoint_watches_silent += 1;
         self.start_watch(context);
         RequestEnd::WatchRestarted
     }
 
-    fn failed(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
+    fn fail_request(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
         if self.watch == Some(id) {
             self.watch = None;
         }
@@ -269,7 +268,7 @@
 
     fn store_entry(&self, context: &mut Context, member: &Json) -> Option<Endpoint> {
         let Some(entry) = EndpointEntry::parse(member) else {
-            tracing::warn!(%member, "a member of the list could not be used");
+            tracing::warn!(entry = %member, "endpoint entry rejected");
             return None;
         };
         let zone = self.zones.iter().position(|name| name == entry.zone).unwrap_or(self.zones.len());
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -1,10 +1,10 @@
-//! The router's state machine: every change of state goes through [`Router::step`] and [`Router::decide`]. It is given
-//! plain values and the time, and asks for effects; it touches no socket and no clock.
+//! The router's state machine: every change of state goes through [`Router::step`] and [`Router::decide`]. Both take
+//! plain values and the time, and queue effects; neither touches a socket or a clock.
 //!
-//! This module routes events to the components and their results to the balancer; the components know neither the
-//! balancer nor each other, but for those below them. From the bottom: `timers`, `shutdown`, `endpoints` and
-//! `connection` (states alone); `context` (what all share); `query_table`; `node_connections`; `dispatch`, `clients` and
-//! `discovery`; `state` (the components together, as the balancer acts on them).
+//! This module routes events to the components and their results to the balancer. A component uses neither the balancer
+//! nor any component above it. From the bottom: `timers`, `shutdown`, `endpoints` and `connection` (states alone);
+//! `context` (the state that all share); `query_table`; `node_connections`; `dispatch`, `clients` and `discovery`;
+//! `state` (the components together, as the balancer acts on them); `reports` (what is reported to the balancer).
 
 mod clients;
 mod connection;
@@ -14,6 +14,7 @@
 mod endpoints;
 mod node_connections;
 mod query_table;
+mod reports;
 mod shutdown;
 mod state;
 mod timers;
@@ -24,17 +25,10 @@
 use crate::config::Config;
 use crate::counters::Counters;
 use crate::io::{ConnectionId, Effect, Event};
-use crate::protocol::query_request::RequestedShard;
-use balancer::{
-    AttemptEnd, AttemptOutcome, Balancer, EndpointUpdate, Events, HealthCheckEnd, LoadMetric, Micros, NodeId,
-    ShardRequestArrival,
-};
-use clients::AcceptedQuery;
+use balancer::{AttemptOutcome, Balancer, EndpointUpdate, Events, Micros};
 use connection::ConnectionKind;
 use connection::discovery::{BodyProgress, EndpointList};
 use discovery::RequestEnd;
-use node_connections::NodeReport;
-use query_table::FinishedAttempt;
 use state::State;
 use timers::Timer;
 
@@ -42,10 +36,10 @@
 pub struct Router {
     balancer: Balancer,
     state: State,
-    /// Whether the balancer was told something since its last decision.
-    decision_due: bool,
+    /// Whether something was reported to the balancer since its last decision.
+    decision_needed: bool,
     last_decision_at: Micros,
-    /// When the event loop was asked to report that time has passed.
+    /// The time of the last [`Effect::WakeAt`].
     wake_at: Option<Micros>,
 }
 
@@ -55,7 +49,7 @@
         let mut router = Router {
             balancer: Balancer::new(config.seed, config.settings.clone()),
             state: State::new(config, now),
-            decision_due: true,
+            decision_needed: true,
             last_decision_at: 0,
             wake_at: None,
         };
@@ -65,12 +59,12 @@
         router
     }
 
-    /// Takes what the event loop is asked to do, in order.
+    /// Takes the effects that the event loop is to carry out, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.state.context.effects)
     }
 
-    /// The counters.
+    /// The counters since the start.
     pub fn counters(&self) -> &Counters {
         &self.state.context.counters
     }
@@ -81,12 +75,14 @@
         match event {
             Event::ClientConnected => self.state.clients.connected(&mut self.state.context),
             Event::Established(id) => self.established(id),
-            Event::Received(id, bytes) => self.received(id, bytes),
+            Event::Received { connection: id, bytes } => self.received(id, bytes),
             Event::Flushed(id) => self.flushed(id),
             Event::PeerClosed(id) => self.closed_by_peer(id),
-            Event::Ended(id, bytes_written) => self.ended(id, bytes_written),
+            Event::Ended { connection: id, written_bytes } => self.ended(id, written_bytes),
             Event::TimerExpired => self.expire_timers(),
-            Event::DiscoveryMoved(address) => self.state.discovery.move_to(&mut self.state.context, address),
+            Event::DiscoveryMoved(address) => {
+                self.state.discovery.set_address(&mut self.state.context, address)
+            }
             Event::Terminate => self.begin_shutdown(),
             Event::ReportCounters => {
                 let lines = self.counters().lines();
@@ -96,8 +92,8 @@
         self.update_wake();
     }
 
-    /// Once an event-loop iteration, after all its events: tells the balancer what is left to tell and lets it decide,
-    /// at most once in the decision interval.
+    /// Called once in an event-loop iteration, after all its events. Reports to the balancer what was not reported at
+    /// once, and lets the balancer decide, at most once in a decision interval.
     pub fn decide(&mut self, now: Micros) {
         self.state.context.now = now;
         for _ in 0..self.state.discovery.take_unreported_failures() {
@@ -107,10 +103,10 @@
         for finished in self.state.queries.take_pending_outcomes() {
             self.report_attempt(&finished, &[]);
         }
-        // Guards against deciding on half of what one instant brings: asked for each event alone, the balancer sent
-        // several times the hedged attempts, which kept nodes full that had only just enough capacity.
+        // Guards against deciding after each event: the balancer then sent several times as many hedged attempts, which
+        // overloaded nodes with just enough capacity.
         let interval_is_over = now >= self.last_decision_at + self.state.context.limits.decision_interval;
-        if interval_is_over && std::mem::take(&mut self.decision_due) {
+        if interval_is_over && std::mem::take(&mut self.decision_needed) {
             self.last_decision_at = now;
             self.state.context.counters.decisions += 1;
             self.balancer.decide(now, &mut self.state);
@@ -130,12 +126,12 @@
         context.shutdown.closes_idle() && context.connections.clients().next().is_none()
     }
 
-    /// Asks to be woken for the first timer, and for the next decision if one is due.
+    /// Asks for [`Event::TimerExpired`] at the time of the first timer, or of the next decision if one is needed.
     fn update_wake(&mut self) {
         let State { context, queries, discovery, .. } = &mut self.state;
-        let decision_due =
-            self.decision_due || queries.has_pending_outcomes() || discovery.has_unreported_failures();
-        let decision_at = decision_due.then_some(self.last_decision_at + context.limits.decision_interval);
+        let decision_needed =
+            self.decision_needed || queries.has_pending_outcomes() || discovery.has_unreported_failures();
+        let decision_at = decision_needed.then_some(self.last_decision_at + context.limits.decision_interval);
         let next = context.timers.next_at().into_iter().chain(decision_at).min();
         if std::mem::replace(&mut self.wake_at, next) != next {
             context.effects.push(Effect::WakeAt(next));
@@ -176,12 +172,12 @@
         }
     }
 
-    fn ended(&mut self, id: ConnectionId, bytes_written: u64) {
+    fn ended(&mut self, id: ConnectionId, written_bytes: u64) {
         let State { context, queries, discovery, .. } = &mut self.state;
         match context.connections.kind(id) {
             Some(ConnectionKind::Client) => self.client_ended(id),
             Some(ConnectionKind::Node) => {
-                let reports = node_connections::ended(context, queries, id, bytes_written);
+                let reports = node_connections::ended(context, queries, id, written_bytes);
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
@@ -204,7 +200,7 @@
         match timer {
             Timer::Balancer(token) => {
                 self.balancer.timer_expired(context.now, token);
-                self.decision_due = true;
+                self.decision_needed = true;
             }
             Timer::AttemptTimeout(attempt) => {
                 dispatcher.cancel(context, queries, attempt, AttemptOutcome::TimedOut);
@@ -230,19 +226,19 @@
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
-                let end = discovery.silent(context, id);
+                let end = discovery.timed_out(context, id);
                 self.discovery_request_ended(id, end);
             }
             None => {}
         }
     }
 
-    /// The process was told to end.
+    /// Starts the graceful shutdown, unless it has been started before.
     fn begin_shutdown(&mut self) {
         let State { context, queries, clients, .. } = &mut self.state;
         let longest_deadline = clients.longest_deadline();
         if context.shutdown.begin(&mut context.timers, context.now, longest_deadline) {
-            tracing::info!(open = queries.open_count(), "told to end");
+            tracing::info!(open_requests = queries.open_count(), "graceful shutdown started");
         }
     }
 
@@ -253,20 +249,7 @@
         }
     }
 
-    /// Tells the balancer of a query and its shard requests.
-    fn report_query(&mut self, accepted: AcceptedQuery) {
-        let AcceptedQuery { arrival, shards } = accepted;
-        let now = self.state.context.now;
-        self.balancer.query_arrived(now, &arrival);
-        for RequestedShard { shard, weight, work } in shards {
-            let shard_request = self.state.queries.add_shard_request(arrival.query, shard);
-            let request = ShardRequestArrival { shard_request, query: arrival.query, shard, weight, work };
-            self.balancer.shard_request_arrived(now, &request);
-        }
-        self.decision_due = true;
-    }
-
-    /// A client has disconnected: nobody waits for its query any more.
+    /// Handles the disconnect of a client, whose query needs no answer any more.
     fn client_ended(&mut self, id: ConnectionId) {
         let State { context, queries, clients, dispatcher, .. } = &mut self.state;
         if let Some(query) = clients.awaited_query(context, id) {
@@ -274,7 +257,7 @@
             dispatcher.cancel_unwritten(context, queries, query);
             context.counters.queries_abandoned_by_client += 1;
             self.balancer.client_disconnected(context.now, query);
-            self.decision_due = true;
+            self.decision_needed = true;
         }
         clients.close(context, id);
     }
@@ -289,48 +272,13 @@
         }
     }
 
-    /// Tells the balancer what happened on a node connection.
-    fn report(&mut self, report: NodeReport) {
-        match report {
-            NodeReport::Attempt(finished, load) => self.report_attempt(&finished, &load),
-            NodeReport::HealthCheck(finished, load) => {
-                let end = HealthCheckEnd {
-                    node: finished.node,
-                    outcome: finished.outcome,
-                    latency: finished.latency,
-                    load: &load,
-                };
-                self.balancer.health_check_ended(self.state.context.now, &end);
-                self.decision_due = true;
-            }
-        }
-    }
-
-    fn report_all<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
-        for report in reports {
-            self.report(report);
-        }
-    }
-
-    fn report_attempt(&mut self, finished: &FinishedAttempt, load: &[LoadMetric]) {
-        let end = AttemptEnd {
-            attempt: finished.attempt,
-            node: finished.node,
-            outcome: finished.outcome,
-            latency: finished.latency,
-            load,
-        };
-        self.balancer.attempt_ended(self.state.context.now, &end);
-        self.decision_due = true;
-    }
-
-    /// Reads a response of discovery and applies each update as soon as it has come in.
+    /// Reads a response of discovery and applies each update as soon as it is complete.
     fn discovery_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let State { context, discovery, .. } = &mut self.state;
-        let (consumed, progress) = match discovery.read(context, id, bytes) {
+        let read = match discovery.read(context, id, bytes) {
             Ok(read) => read,
             Err(error) => {
-                let end = discovery.invalid(context, id, &error);
+                let end = discovery.reject_response(context, id, &error);
                 return self.discovery_request_ended(id, end);
             }
         };
@@ -340,14 +288,14 @@
                 Ok(Some(list)) => self.apply_endpoint_list(&list),
                 Ok(None) => break,
                 Err(error) => {
-                    let end = discovery.invalid(context, id, &error);
+                    let end = discovery.reject_response(context, id, &error);
                     return self.discovery_request_ended(id, end);
                 }
             }
         }
         let State { context, discovery, .. } = &mut self.state;
-        discovery.finish_reading(context, id, consumed, progress);
-        if progress == BodyProgress::Complete {
+        discovery.finish_reading(context, id, read);
+        if read.progress == BodyProgress::Complete {
             let end = discovery.ended(context, id);
             self.discovery_request_ended(id, end);
         }
@@ -363,27 +311,4 @@
             RequestEnd::Failed => self.report_discovery_failure(),
         }
     }
-
-    fn report_discovery_failure(&mut self) {
-        let now = self.state.context.now;
-        self.balancer.endpoint_update_started(now, EndpointUpdate::Failed);
-        self.balancer.endpoint_update_finished(now, &mut self.state);
-        self.decision_due = true;
-    }
-
-    /// Applies an endpoint list, and tells the balancer of it entry by entry.
-    fn apply_endpoint_list(&mut self, list: &EndpointList) {
-        let State { context, queries, dispatcher, discovery, .. } = &mut self.state;
-        let now = context.now;
-        let endpoints = discovery.store(context, list);
-        self.balancer.endpoint_update_started(now, list.update);
-        for endpoint in &endpoints {
-            self.balancer.endpoint_listed(now, endpoint);
-        }
-        for node in 0..context.endpoints.len() {
-            dispatcher.apply_endpoint(context, queries, NodeId(node));
-        }
-        self.balancer.endpoint_update_finished(now, &mut self.state);
-        self.decision_due = true;
-    }
 }
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -8,13 +8,23 @@
 use crate::router::timers::Timer;
 use balancer::{AttemptId, AttemptOutcome, LoadMetric, Micros, NodeId};
 
-/// What an event on a node connection tells the balancer.
+/// An event on a node connection that is reported to the balancer.
 #[derive(Debug)]
 pub enum NodeReport<'a> {
     /// An attempt has ended.
-    Attempt(FinishedAttempt, Vec<LoadMetric<'a>>),
+    Attempt {
+        /// The attempt and its outcome.
+        finished: FinishedAttempt,
+        /// What the node reports of its load with the response.
+        load: Vec<LoadMetric<'a>>,
+    },
     /// A health check has ended.
-    HealthCheck(FinishedHealthCheck, Vec<LoadMetric<'a>>),
+    HealthCheck {
+        /// The health check and its outcome.
+        finished: FinishedHealthCheck,
+        /// What the node reports of its load with the answer.
+        load: Vec<LoadMetric<'a>>,
+    },
 }
 
 /// A health check that has ended.
@@ -35,16 +45,17 @@
     let id = context.open(Connection::Node(Box::new(connection)))?;
     context.counters.node_connections_opened += 1;
     context.endpoints[node].connections.push(id);
-    context.effects.push(Effect::Connect(id, address));
+    context.effects.push(Effect::Connect { connection: id, address });
     set_timer(context, id);
     Some(id)
 }
 
-/// Sets the timer by which a connection must be established, complete the frame that has begun, or is closed as idle.
+/// Sets the timer of a connection: the time by which it must be established or complete a partial frame, or at which it
+/// is closed as idle.
 pub fn set_timer(context: &mut Context, id: ConnectionId) {
     let (connect_timeout, idle_timeout) = (context.limits.connect_timeout, context.limits.idle_timeout);
-    let connection = context.connections.node(id);
-    let at = match (connection.establishment, connection.partial_frame) {
+    let connection = context.connections.node_mut(id);
+    let at = match (connection.establishment(), connection.partial_frame()) {
         (Establishment::Connecting { since }, _) => Some(since + connect_timeout),
         (_, Some(partial)) => Some(partial.since + connect_timeout),
         (_, None) => connection.idle_since().map(|since| since + idle_timeout),
@@ -52,31 +63,30 @@
     context.set_connection_timer(id, at);
 }
 
-/// Keeps a connection with nothing to do until its idle timeout; closes one that cannot be reused at once.
+/// Keeps an idle connection until its idle timeout, or closes it at once if it cannot be reused.
 pub fn close_or_keep_idle(context: &mut Context, id: ConnectionId) {
     let now = context.now;
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     if connection.idle_since().is_some() {
-        if !connection.reusable {
+        if !connection.is_reusable() {
             return context.close_idle_node(id);
         }
-        connection.idle_from = now;
+        connection.restart_idle_time(now);
     }
     set_timer(context, id);
 }
 
-/// A connection has ended with so many bytes written. What was not written in full was not executed; of the rest
-/// nothing is known.
+/// Handles the end of a connection on which `bytes_written` bytes were written. Attempts that were not written in full
+/// were not executed; whether the others were is unknown.
 pub fn ended(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes_written: u64,
 ) -> Vec<NodeReport<'static>> {
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     let was_established = connection.is_established();
-    let cause = connection.close_cause;
-    let queued: Vec<AttemptId> = connection.queued_attempts().collect();
-    let in_flight = std::mem::take(&mut connection.in_flight);
-    // One that was established and ends before a frame is written says nothing of whether its node can be
-    // reached.
+    let cause = connection.close_cause();
+    let queued: Vec<AttemptId> = connection.queue().attempts().collect();
+    let in_flight = connection.take_in_flight();
+    // An established connection that ends before a frame is written does not prove that its node is unreachable.
     let (not_written, check_outcome) = if was_established {
         (AttemptOutcome::NotSent, AttemptOutcome::ConnectionLost)
     } else {
@@ -94,7 +104,7 @@
     let queued = queued.into_iter().map(|attempt| (attempt, not_written));
     for (attempt, outcome) in sent.chain(queued) {
         let finished = queries.finish_attempt(context, attempt, outcome);
-        reports.extend(finished.map(|finished| NodeReport::Attempt(finished, Vec::new())));
+        reports.extend(finished.map(|finished| NodeReport::Attempt { finished, load: Vec::new() }));
     }
     context.close_node(id);
     reports
@@ -109,43 +119,36 @@
     }
 }
 
-/// The oldest unanswered health check of a connection has ended; `None` if there is none.
+/// Ends the oldest unanswered health check of a connection; `None` if there is none.
 pub fn finish_health_check<'a>(
     context: &mut Context, id: ConnectionId, outcome: AttemptOutcome, load: Vec<LoadMetric<'a>>,
 ) -> Option<NodeReport<'a>> {
-    let connection = context.connections.node(id);
+    let connection = context.connections.node_mut(id);
     let node = connection.node;
-    let deadline = connection.health_check_deadlines.pop_front()?;
+    let deadline = connection.pop_health_check()?;
     context.timers.remove(deadline, Timer::HealthCheckTimeout(id));
     let latency = context.now - (deadline - context.limits.connect_timeout);
-    Some(NodeReport::HealthCheck(FinishedHealthCheck { node, outcome, latency }, load))
+    Some(NodeReport::HealthCheck { finished: FinishedHealthCheck { node, outcome, latency }, load })
 }
 
-/// Closes a connection on which something came in that cannot be used, or did not come to its end. Guards against
-/// taking good nodes for crashed ones: responses are damaged on the way too. The balancer is told of one attempt,
-/// the one `named` or else the oldest; the others in flight here are cancelled by the close.
+/// Closes a connection on which a frame was malformed or stayed incomplete. Guards against taking nodes for crashed if
+/// a response was damaged on its way: one attempt counts as malformed, the one `named` in the frame or else the oldest
+/// in flight, and the close cancels the others.
 pub fn close_malformed(context: &mut Context, id: ConnectionId, named: Option<AttemptId>) {
-    let connection = context.connections.node(id);
-    let malformed = named.or(connection.in_flight.first().map(|sent| sent.attempt));
-    match malformed {
-        None => {
-            connection.close_cause = CloseCause::Local;
-            context.counters.frames_unexpected += 1;
-        }
-        Some(attempt) => {
-            connection.close_cause = CloseCause::MalformedResponse(attempt);
-            note_malformed_frame(context, id, "its frame could not be used");
-        }
+    match context.connections.node_mut(id).set_malformed(named) {
+        None => context.counters.frames_unexpected += 1,
+        Some(_) => note_malformed_frame(context, id, "the node sent a frame that could not be parsed"),
     }
     context.effects.push(Effect::Abort(id));
 }
 
-/// Counts a frame that a data node or this router could not read; logged once for each node.
+/// Counts a frame that a data node or this router could not parse. It is logged once for each node.
 pub fn note_malformed_frame(context: &mut Context, id: ConnectionId, reason: &str) {
     context.counters.frames_malformed += 1;
-    let node = context.connections.node(id).node;
+    let node = context.connections.node_mut(id).node;
     let endpoint = &mut context.endpoints[node];
     if !std::mem::replace(&mut endpoint.malformed_frame_logged, true) {
-        tracing::warn!("the data node at {:?} is not understood: {reason}", endpoint.address);
+        let address = endpoint.address.map(tracing::field::display);
+        tracing::warn!(address, reason, "malformed frame on a node connection");
     }
 }
--- a/crates/query-router/src/router/node_connections/write.rs
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -1,36 +1,42 @@
-//! What is written on node connections.
+//! Writing of queued frames on node connections.
 
 use super::lifecycle::set_timer;
-use crate::io::{Bytes, ConnectionId, Effect};
+use crate::io::{Bytes, ConnectionId, Effect, ExpectedInput};
 use crate::protocol::frames::{self, FrameKind};
-use crate::router::connection::node::{HealthCheckKind, InFlight, NodeConnection, OutgoingFrame};
+use crate::router::connection::node::InFlight;
+use crate::router::connection::outgoing_queue::{HealthCheckKind, OutgoingFrame};
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use balancer::{AttemptId, AttemptOutcome, Micros};
 use std::rc::Rc;
 
-/// Hands what is queued for a connection to the event loop, once everything before it is written.
+/// Hands the queued frames of a connection to the event loop, unless earlier ones are still being written.
 pub fn write(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
-    let Some(connection) = context.connections.as_node(id) else { return };
-    if !connection.is_established() || !connection.is_flushed() || connection.queue.is_empty() {
+    let Some(connection) = context.connections.node(id) else { return };
+    if !connection.is_established() || !connection.is_flushed() || connection.queue().is_empty() {
         return;
     }
     cancel_expired(context, queries, id);
-    let connection = context.connections.node(id);
-    if connection.queue.is_empty() {
+    let connection = context.connections.node_mut(id);
+    if connection.queue().is_empty() {
         return;
     }
-    // Guards against a batch that is sent behind a node's last frame, or behind half of one.
-    let response_due = connection.queued_attempts().next().is_none() || connection.awaits_response();
+    // Guards against sending a batch after the node has announced that it closes, or behind an incomplete frame.
+    let carries_attempts = connection.queue().attempts().next().is_some();
+    let expected = if carries_attempts && !connection.awaits_response() {
+        ExpectedInput::Nothing
+    } else {
+        ExpectedInput::Response
+    };
     let mut buffers: Vec<Bytes> = Vec::new();
-    while let Some(frame) = context.connections.node(id).queue.pop_front() {
+    while let Some(frame) = context.connections.node_mut(id).queue_mut().pop() {
         encode(context, queries, id, frame, &mut buffers);
     }
-    context.effects.push(Effect::WriteIfOpen(id, buffers, response_due));
+    context.effects.push(Effect::WriteIfOpen { connection: id, buffers, expected });
     set_timer(context, id);
 }
 
-/// Appends a frame to what is written; its attempts are in flight from now on.
+/// Appends the encoded frame to `buffers`. Its attempts are in flight from now on.
 fn encode(
     context: &mut Context, queries: &QueryTable, id: ConnectionId, frame: OutgoingFrame,
     buffers: &mut Vec<Bytes>,
@@ -59,28 +65,30 @@
     let length = buffers[head_index..].iter().map(|buffer| buffer.len()).sum();
     let head = frames::head(kind.letter(), length);
     buffers[head_index] = head.into();
-    let connection = context.connections.node(id);
-    connection.bytes_handed_over += (head.len() + length) as u64;
+    let connection = context.connections.node_mut(id);
+    let end_offset = connection.add_handed_over(head.len() + length);
     if let OutgoingFrame::Batch(attempts) = frame {
-        let end_offset = connection.bytes_handed_over;
-        connection.in_flight.extend(attempts.into_iter().map(|attempt| {
+        connection.add_in_flight(attempts.into_iter().map(|attempt| {
             let id = queries.shard_request(attempt.shard_request).id.clone();
             InFlight { id, attempt, end_offset }
         }));
     }
 }
 
-/// Cancels queued attempts whose time is over. Guards against sending what expires in this very iteration: sockets
-/// are read before timers expire.
+/// Cancels queued attempts whose deadline has passed. Guards against sending attempts that time out in the same
+/// iteration, since sockets are read before timers expire.
 fn cancel_expired(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let has_expired = |attempt: &AttemptId| {
         queries.attempt(*attempt).is_some_and(|attempt| attempt.deadline <= context.now)
     };
-    let connection = context.connections.as_node(id);
-    let expired: Vec<AttemptId> =
-        connection.into_iter().flat_map(NodeConnection::queued_attempts).filter(has_expired).collect();
+    let connection = context.connections.node(id);
+    let expired: Vec<AttemptId> = connection
+        .into_iter()
+        .flat_map(|connection| connection.queue().attempts())
+        .filter(has_expired)
+        .collect();
     for attempt in expired {
-        context.connections.node(id).remove_queued(attempt);
+        context.connections.node_mut(id).queue_mut().remove(attempt);
         queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent);
     }
 }
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -2,47 +2,65 @@
 
 use super::*;
 
-#[test]
-fn a_watch_is_read_however_its_bytes_are_split_and_is_restarted_when_silent() {
+/// What a watch sends in the tests below: an update in two chunks that drains node `b`, and a blank line.
+fn watch_response() -> String {
     let line = r#"{"revision":43,"complete":false,"members":[{"id":"b","host_port":"127.0.0.1:72",
         "locality":"z","cell":0,"phase":"draining","size":1.0,"up_since_ms":0}]}"#;
     let line = line.replace('\n', "") + "\n\n";
     let (begin, end) = line.split_at(30);
-    let text = format!(
+    format!(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{begin}\r\n{:x}\r\n{end}\r\n",
         begin.len(),
         end.len()
-    );
-    for at in 0..text.len() {
-        let mut rig = Rig::new();
-        let watch = rig.peers.outgoing[0].id;
-        rig.step(Event::Established(watch));
-        assert!(rig.written(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
-        // Bytes that were not consumed are reported again.
-        let mut left = Vec::new();
-        for piece in [&text.as_bytes()[..at], &text.as_bytes()[at..]] {
-            left.extend_from_slice(piece);
-            rig.router.step(START, Event::Received(watch, &left));
-            for effect in rig.router.take_effects() {
-                if let Effect::Consume(_, count) = effect {
-                    left.drain(..count);
-                }
+    )
+}
+
+/// A router whose watch has sent [`watch_response`] in two pieces, the watch, and how many bytes were not consumed.
+fn watch_that_has_answered(split: usize) -> (Rig<RecordingPeers>, ConnectionId, usize) {
+    let text = watch_response();
+    let mut rig = Rig::new();
+    let watch = rig.peers.outgoing[0].id;
+    rig.step(Event::Established(watch));
+    assert!(rig.written(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
+    // Bytes that were not consumed are reported again.
+    let mut left = Vec::new();
+    for piece in [&text.as_bytes()[..split], &text.as_bytes()[split..]] {
+        left.extend_from_slice(piece);
+        rig.router.step(START, Event::Received { connection: watch, bytes: &left });
+        for effect in rig.router.take_effects() {
+            if let Effect::Consume { count, .. } = effect {
+                left.drain(..count);
             }
         }
-        let ready: Vec<bool> =
-            rig.router.state.context.endpoints.records().iter().map(|record| record.ready).collect();
-        assert_eq!((ready, left.len()), (vec![true, false], 0), "split at {at}");
-        // A watch that was well is restarted as soon as it counts as silent.
+    }
+    (rig, watch, left.len())
+}
+
+#[test]
+fn a_watch_is_read_however_its_bytes_are_split() {
+    for split in 0..watch_response().len() {
+        let (rig, _, unconsumed) = watch_that_has_answered(split);
+        let records = rig.router.state.context.endpoints.records();
+        let ready: Vec<bool> = records.iter().map(|record| record.ready).collect();
+        assert_eq!((ready, unconsumed), (vec![true, false], 0), "split at {split}");
+    }
+}
+
+#[test]
+fn a_silent_watch_is_restarted_and_never_runs_twice() {
+    for split in 0..watch_response().len() {
+        let (mut rig, watch, _) = watch_that_has_answered(split);
+        // A watch that worked is restarted as soon as it counts as silent.
         rig.pass(3_999_999);
         assert_eq!((rig.peers.outgoing[0].id, rig.router.counters().endpoint_watches_silent), (watch, 0));
         rig.pass(1);
         assert_eq!((rig.peers.outgoing.len(), rig.router.counters().endpoint_watches_silent), (1, 1));
         assert_eq!(rig.router.counters().discovery_failures, 0);
-        let most = (0..160).map(|_| {
+        let watch_counts = (0..160).map(|_| {
             rig.pass(100_000);
             rig.peers.outgoing.len()
         });
-        assert_eq!(most.max(), Some(1), "one watch at a time");
+        assert_eq!(watch_counts.max(), Some(1), "one watch at a time");
         assert!(rig.router.counters().discovery_failures > 1);
     }
 }
@@ -56,7 +74,7 @@
     for second in 0..4 {
         assert_eq!(rig.peers.outgoing[0].id, watch, "after {second} s");
         head.push(b'x');
-        rig.step(Event::Received(watch, &head));
+        rig.receive(watch, &head);
         rig.pass(1_000_000);
     }
     assert!(
@@ -80,14 +98,14 @@
     let first = rig.peers.outgoing[0].id;
     rig.poll();
     let list = rig.peers.outgoing[1].id;
-    rig.step(Event::Ended(first, 0));
+    rig.end(first, 0);
     rig.pass(50_000);
-    rig.step(Event::Ended(list, 0));
+    rig.end(list, 0);
     rig.pass(250_000);
     let second = rig.peers.outgoing[0].id;
     rig.step(Event::Established(second));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
-    rig.step(Event::Received(second, head.as_bytes()));
+    rig.receive(second, head.as_bytes());
     let requests = rig.router.counters().discovery_requests;
     rig.pass(3_000_000);
     assert_eq!(rig.router.counters().discovery_requests, requests);
@@ -99,21 +117,21 @@
     let mut rig = pushed_discovery();
     let mut waits = Vec::new();
     for _ in 0..8 {
-        rig.step(Event::Ended(rig.peers.outgoing[0].id, 0));
-        let since = rig.now;
+        rig.end(rig.peers.outgoing[0].id, 0);
+        let failed_at = rig.now;
         while rig.peers.outgoing.is_empty() {
             rig.pass(1_000);
         }
-        waits.push(rig.now - since);
+        waits.push(rig.now - failed_at);
     }
-    for (wait, most) in waits.into_iter().zip([125, 250, 250, 250, 250, 250, 250, 250]) {
-        assert!((most * 500..=most * 1_000).contains(&(wait - wait % 1_000)), "{wait} of {most} ms");
+    for (wait, max_ms) in waits.into_iter().zip([125, 250, 250, 250, 250, 250, 250, 250]) {
+        assert!((max_ms * 500..=max_ms * 1_000).contains(&(wait - wait % 1_000)), "{wait} of {max_ms} ms");
     }
     // One that is well resets the delay.
     let watch = rig.peers.outgoing[0].id;
     rig.step(Event::Established(watch));
-    rig.step(Event::Received(watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"));
-    rig.step(Event::Ended(watch, 0));
+    rig.receive(watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
+    rig.end(watch, 0);
     rig.pass(125_000);
     assert_eq!(rig.peers.outgoing.len(), 1);
 }
@@ -123,7 +141,7 @@
     let retry_at = |seed: &str| {
         let config = CONFIG.replace("\"ask\"", "\"push\"").replace("\"2a\"", seed);
         let mut rig = Rig::with_config(&config);
-        rig.step(Event::Ended(rig.peers.outgoing[0].id, 0));
+        rig.end(rig.peers.outgoing[0].id, 0);
         rig.decide();
         rig.router.wake_at
     };
@@ -142,11 +160,11 @@
         let mut rig = Rig::new();
         let request = rig.poll();
         rig.step(Event::Established(request));
-        rig.step(Event::Received(request, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes()));
+        rig.receive(request, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes());
         if closed {
             rig.step(Event::PeerClosed(request));
         }
-        rig.step(Event::Ended(request, 0));
+        rig.end(request, 0);
         let counters = rig.router.counters();
         assert_eq!(
             (counters.endpoint_lists_full, counters.discovery_failures),
@@ -156,10 +174,10 @@
     }
 }
 
-/// A full list of so many nodes, compact or indented.
+/// A full list of `nodes` nodes, compact or indented.
 fn list_of(nodes: usize, indented: bool) -> String {
-    let member = |i: usize| {
-        serde_json::json!({"id": format!("s-{i:08x}"), "host_port": format!("127.0.0.1:{}", 2000 + i),
+    let member = |index: usize| {
+        serde_json::json!({"id": format!("s-{index:08x}"), "host_port": format!("127.0.0.1:{}", 2000 + index),
             "locality": "z", "flavor": "std", "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0})
     };
     let members: Vec<_> = (0..nodes).map(member).collect();
@@ -167,14 +185,16 @@
     if indented { serde_json::to_string_pretty(&list).expect("JSON") } else { list.to_string() }
 }
 
-/// Has a request answered with these bytes, so many at a time; what was not consumed is reported again.
-fn receive_in_pieces(rig: &mut Rig<RecordingPeers>, request: ConnectionId, bytes: &[u8], piece: usize) {
+/// Answers a request with these bytes, `piece_length` at a time. Bytes that were not consumed are reported again.
+fn receive_in_pieces(
+    rig: &mut Rig<RecordingPeers>, request: ConnectionId, bytes: &[u8], piece_length: usize,
+) {
     let mut left = Vec::new();
-    for piece in bytes.chunks(piece) {
+    for piece in bytes.chunks(piece_length) {
         left.extend_from_slice(piece);
-        rig.router.step(START, Event::Received(request, &left));
+        rig.router.step(START, Event::Received { connection: request, bytes: &left });
         for effect in rig.router.take_effects() {
-            if let Effect::Consume(_, count) = effect {
+            if let Effect::Consume { count, .. } = effect {
                 left.drain(..count);
             }
         }
@@ -182,11 +202,11 @@
 }
 
 /// How many nodes are ready after a response to a poll or a watch.
-fn ready_after(watch: bool, bytes: &[u8], piece: usize) -> usize {
+fn ready_after(watch: bool, bytes: &[u8], piece_length: usize) -> usize {
     let mut rig = Rig::new();
     let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
     rig.step(Event::Established(request));
-    receive_in_pieces(&mut rig, request, bytes, piece);
+    receive_in_pieces(&mut rig, request, bytes, piece_length);
     rig.ready_endpoints()
 }
 
@@ -264,7 +284,7 @@
         let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
         rig.step(Event::Established(request));
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        rig.step(Event::Received(request, text.as_bytes()));
+        rig.receive(request, text.as_bytes());
         let counters = rig.router.counters();
         assert_eq!(
             (counters.endpoint_lists_invalid, counters.discovery_failures),
@@ -281,12 +301,15 @@
         rig.pass(20_000_000);
         assert!(rig.router.counters().discovery_requests > requests);
     }
-    // A length that no list has is not believed, however little comes.
+}
+
+#[test]
+fn a_response_that_states_a_greater_length_than_any_list_is_rejected_at_once() {
     let mut rig = Rig::new();
     let request = rig.peers.outgoing[0].id;
     rig.step(Event::Established(request));
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{{", usize::MAX);
-    rig.step(Event::Received(request, text.as_bytes()));
+    rig.receive(request, text.as_bytes());
     assert_eq!(rig.router.counters().endpoint_lists_invalid, 1);
 }
 
@@ -304,11 +327,11 @@
     let request = rig.peers.outgoing[0].id;
     rig.step(Event::Established(request));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    rig.step(Event::Received(request, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes()));
+    rig.receive(request, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes());
     for _ in 0..3 {
         rig.pass(1_500_000);
         if rig.router.state.context.connections.kind(request).is_some() {
-            rig.step(Event::Received(request, b"1\r\n\n\r\n"));
+            rig.receive(request, b"1\r\n\n\r\n");
         }
     }
     assert_eq!(rig.router.counters().discovery_failures, 1);
--- a/crates/query-router/src/router/tests/dispatch.rs
+++ b/crates/query-router/src/router/tests/dispatch.rs
@@ -10,7 +10,7 @@
         let client = rig.query(class, "t1");
         let (connection, port) = rig.establish_last();
         let written = rig.written(connection).len() as u64;
-        rig.step(Event::Ended(connection, written - unwritten));
+        rig.end(connection, written - unwritten);
         rig.decide();
         let other = rig.peers.outgoing.last().expect("a connection").port;
         assert_eq!(
@@ -44,7 +44,7 @@
     let mut rig = Rig::new();
     rig.query("pay", "t1");
     let connection = rig.peers.outgoing.last().expect("a connection").id;
-    // Sockets are read before timers expire: the timer is due in this iteration too.
+    // Sockets are read before timers expire: the timer expires in this iteration too.
     rig.now += 1_500_000;
     rig.step(Event::Established(connection));
     assert_eq!((rig.written(connection), rig.router.counters().attempts_not_sent), (String::new(), 2));
@@ -72,7 +72,7 @@
         (1, 2),
         "discovery's alone"
     );
-    rig.step(Event::Ended(client, 0));
+    rig.end(client, 0);
     rig.pass(500_000);
     assert_eq!((rig.peers.outgoing.len(), rig.router.counters().attempts_not_sent), (1, 2));
     assert_eq!(rig.router.state.queries.shard_requests.len(), 0);
@@ -88,7 +88,7 @@
     assert!(rig.written(client).starts_with("HTTP/1.1 503"), "{}", rig.written(client));
     // The next query gets the ids of the one before, and nothing of it.
     rig.query("pay", "t2");
-    rig.step(Event::Ended(clients[0], 0));
+    rig.end(clients[0], 0);
     rig.decide();
     let (connection, _) = rig.establish_last();
     assert!(
@@ -106,7 +106,7 @@
     rig.peers.writes_stall = true;
     let (connection, _) = rig.establish_last();
     assert_eq!(rig.written(connection).len(), 12);
-    rig.step(Event::Ended(client, 0));
+    rig.end(client, 0);
     assert!(rig.peers.closed.contains(&connection));
     assert_eq!(rig.router.counters().attempts_not_sent, 2);
 }
@@ -148,7 +148,7 @@
             let connection = rig.connection_for(0, &ids).expect("a connection");
             rig.run_effects();
             rig.step(Event::Established(connection));
-            rig.router.state.context.connections.node(connection).queue_batch(Vec::new());
+            rig.router.state.context.connections.node_mut(connection).queue_batch(Vec::new());
             connection
         })
         .collect();
@@ -166,7 +166,7 @@
     let clients: Vec<ConnectionId> = (0..4).map(|_| rig.client()).collect();
     let busy = rig.query("pay", "t1");
     assert_eq!(rig.peers.outgoing.len(), 1, "discovery's alone");
-    rig.step(Event::Ended(clients[0], 0));
+    rig.end(clients[0], 0);
     rig.decide();
     let (connection, _) = rig.establish_last();
     assert!(rig.written(connection).contains("t1.0") && rig.written(busy).is_empty());
@@ -179,13 +179,13 @@
     let clients: Vec<ConnectionId> = (0..4).map(|_| rig.client()).collect();
     rig.query("pay", "t1");
     let node = rig.router.state.queries.shard_requests[0].attempts[0].node.0;
-    let members = [("a", 71), ("b", 72)].into_iter().enumerate().map(|(i, (id, port))| {
-        let phase = if i == node { "draining" } else { "ready" };
+    let members = [("a", 71), ("b", 72)].into_iter().enumerate().map(|(index, (id, port))| {
+        let phase = if index == node { "draining" } else { "ready" };
         serde_json::json!({"id": id, "host_port": format!("127.0.0.1:{port}"), "cell": 0, "phase": phase})
     });
     let list = serde_json::json!({"revision": 42, "members": members.collect::<Vec<_>>()});
     rig.apply_list(&list, EndpointUpdate::Incremental);
-    rig.step(Event::Ended(clients[0], 0));
+    rig.end(clients[0], 0);
     rig.decide();
     let (_, port) = rig.establish_last();
     assert_eq!((port, rig.router.counters().attempts_not_sent), ([72, 71][node], 2));
@@ -201,7 +201,7 @@
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
     let mut query = |id: &str| {
         let client = rig.client();
-        rig.step(Event::Received(client, post("pay", id, body).as_bytes()));
+        rig.receive(client, post("pay", id, body).as_bytes());
         rig.pass(5_000);
         (client, rig.peers.outgoing.last().expect("a connection").id)
     };
