--- a/crates/balancer/examples/decide_cost.rs
+++ b/crates/balancer/examples/decide_cost.rs
@@ -5,9 +5,9 @@
 //! answered after 20 ms.
 
 use balancer::{
-    Actions, AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Balancer, Completion, Endpoint,
-    EndpointState, EndpointUpdate, Events, Micros, NodeId, QueryArrival, QueryId, Settings,
-    ShardRequestArrival, ShardRequestId, Value,
+    Actions, AttemptEnd, AttemptId, AttemptNumber, AttemptOutcome, Balancer, BatchSettings, ClassSettings,
+    Completion, Endpoint, EndpointState, EndpointUpdate, Events, Idempotency, LimitSettings, Micros, NodeId,
+    QueryArrival, QueryId, Settings, ShardRequestArrival, ShardRequestId, ShardSettings,
 };
 use std::time::{Duration, Instant};
 
@@ -64,21 +64,26 @@
 }
 
 fn settings(replica_sets: usize, routers: usize) -> Settings {
-    let mut settings = Settings::default();
-    for (name, value) in [
-        ("shards.replica_sets", replica_sets as f64),
-        ("shards.replica_sets_per_shard", 1.0),
-        ("routers", routers as f64),
-        ("batch.max_shard_requests", 4.0),
-        ("limits.max_attempts", 3.0),
-        ("decision_interval_us", DECISION_INTERVAL as f64),
-        ("class.0.latency_objective_us", 3e5),
-        ("class.0.deadline_us", 1e6),
-    ] {
-        settings.set(name, Value::Number(value));
+    let class = ClassSettings {
+        idempotency: Idempotency::Idempotent,
+        latency_objective: Some(300_000),
+        deadline: 1_000_000,
+        ..Default::default()
+    };
+    let shards = ShardSettings {
+        replica_sets: Some(replica_sets),
+        replica_sets_per_shard: Some(1),
+        ..Default::default()
+    };
+    Settings {
+        shards,
+        routers: routers.max(1) as f64,
+        decision_interval: DECISION_INTERVAL,
+        batch: BatchSettings { max_shard_requests: Some(4), ..Default::default() },
+        limits: LimitSettings { max_attempts: Some(3), ..Default::default() },
+        classes: vec![class],
+        ..Default::default()
     }
-    settings.set("class.0.idempotency", Value::Text("idempotent".into()));
-    settings
 }
 
 fn list_nodes(balancer: &mut Balancer, fleet: &mut Fleet, nodes: usize, replica_sets: usize) {
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -6,8 +6,8 @@
     ShardMap, ShardRequest, SiteSettings, SlidingWindow,
 };
 use crate::{
-    Actions, AttemptEnd, Endpoint, EndpointUpdate, Events, LoadReport, Micros, NodeId, QueryArrival, QueryId,
-    Settings, ShardRequestArrival,
+    Actions, AttemptEnd, ClassSettings, Endpoint, EndpointUpdate, Events, LoadReport, Micros, NodeId,
+    QueryArrival, QueryId, Settings, ShardRequestArrival,
 };
 
 /// Decides for one router, from its settings and its own events.
@@ -37,7 +37,7 @@
     /// A balancer that knows no nodes; `seed` determines its random draws.
     pub fn new(seed: u64, settings: Settings) -> Self {
         Balancer {
-            shards: ShardMap::new(&settings),
+            shards: ShardMap::new(&settings.shards),
             site: SiteSettings::new(&settings),
             settings,
             random: fastrand::Rng::with_seed(seed),
@@ -50,8 +50,12 @@
 
     /// Grows the list of service classes to `count`.
     pub(crate) fn ensure_classes(&mut self, count: usize) {
+        let unlisted = ClassSettings::default();
         let missing = self.classes.len()..count;
-        self.classes.extend(missing.map(|class| ServiceClass::new(&self.settings, class, &RETAINED)));
+        self.classes.extend(missing.map(|class| {
+            let settings = self.settings.classes.get(class).unwrap_or(&unlisted);
+            ServiceClass::new(settings, &RETAINED)
+        }));
     }
 
     /// A node of which nothing is known.
@@ -114,7 +118,7 @@
     }
 
     fn load_reported(&mut self, now: Micros, node: NodeId, report: &LoadReport) {
-        self.ensure_classes(ServiceClass::count_named(&self.settings));
+        self.ensure_classes(self.settings.named_classes().count());
         self.nodes[node].load_reported(now, report.in_flight);
         self.observe_report(now, node, report);
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -23,9 +23,9 @@
 //! }
 //!
 //! let mut settings = Settings::default();
-//! settings.set("shards.replica_sets", Value::Number(1.0));
-//! settings.set("shards.replica_sets_per_shard", Value::Number(1.0));
-//! settings.set("class.0.latency_objective_us", Value::Number(1e6));
+//! settings.shards.replica_sets = Some(1);
+//! settings.shards.replica_sets_per_shard = Some(1);
+//! settings.classes = vec![ClassSettings { latency_objective: Some(1_000_000), ..Default::default() }];
 //! let (mut balancer, mut recorder) = (Balancer::new(7, settings), Recorder::default());
 //! let (node, query, shard_request) = (NodeId(5), QueryId(1), ShardRequestId(2));
 //!
@@ -86,7 +86,10 @@
     LoadReport, QueryArrival, ShardRequestArrival,
 };
 pub use ids::{AttemptId, AttemptNumber, NodeId, QueryId, ShardRequestId};
-pub use settings::{Settings, Value};
+pub use settings::{
+    BatchSettings, ClassSettings, DiscoveryMode, Idempotency, LimitSettings, RuleSettings, Settings,
+    ShardSettings, TenantSettings,
+};
 
 /// A point in time or a duration in microseconds.
 pub type Micros = i64;
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -25,7 +25,7 @@
 
     /// Counts a query of a tenant; returns whether it exceeds this router's share of the quota.
     fn exceeds_quota(&mut self, now: Micros, tenant: usize) -> bool {
-        let usage = self.admission.count_query(now, tenant, &self.settings, &RETAINED);
+        let usage = self.admission.count_query(now, tenant, &self.settings.tenants, &RETAINED);
         let share = usage.quota_per_second / self.site.routers;
         usage.arrivals.sum(now - RECENT / 3) > share * (RECENT / 3) as f64 / 1e6
     }
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -13,12 +13,12 @@
 mod tests;
 
 use crate::state::{
-    Assignment, Candidate, Choice, Completeness, Idempotency, InFlightAttempt, LimitCheck, Observation, Plan,
-    Preference, Progress, Query, Repeat, SamplesRetained, Silence, SlowStart,
+    Assignment, Candidate, Choice, Completeness, InFlightAttempt, LimitCheck, Observation, Plan, Preference,
+    Progress, Query, Repeat, SamplesRetained, Silence, SlowStart,
 };
 use crate::{
-    Actions, AttemptEnd, AttemptOutcome, Balancer, Completion, EndpointHealth, LoadReport, Micros, NodeId,
-    QueryArrival, QueryId, ShardRequestId,
+    Actions, AttemptEnd, AttemptOutcome, Balancer, Completion, EndpointHealth, Idempotency, LoadReport,
+    Micros, NodeId, QueryArrival, QueryId, ShardRequestId,
 };
 use std::cmp::Reverse;
 
--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -5,8 +5,10 @@
 
 /// A query of four shard requests with a minimum; the nodes of `rejecting` rejected attempts recently.
 fn partial_query(minimum: f64, rejecting: &[usize]) -> Balancer {
-    let mut balancer =
-        balancer("idempotent", &[("class.0.completeness_minimum", minimum), ("class.0.partial_value", 0.9)]);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.classes[0].completeness_minimum = minimum;
+        settings.classes[0].partial_value = 0.9;
+    });
     for &node in rejecting {
         let node = &mut balancer.nodes[NodeId(node)];
         node.consecutive_rejections = 1;
@@ -22,7 +24,7 @@
 
 #[test]
 fn a_query_waits_at_the_concurrency_limit_and_is_rejected_in_the_end() {
-    let mut balancer = balancer("non_idempotent", &[]);
+    let mut balancer = balancer(Idempotency::NonIdempotent);
     arrive(&mut balancer, 0, 12);
     assert_eq!(decide(&mut balancer, NOW).len(), 12);
     arrive(&mut balancer, 20, 6);
@@ -33,7 +35,8 @@
 #[test]
 fn while_attempts_are_rejected_large_queries_are_paced() {
     let sends = |rejections: &[f64], size: usize| {
-        let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 1.0)]);
+        let mut balancer =
+            balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(1));
         for &rejected in rejections {
             balancer.admission.rejections.push(NOW, rejected);
         }
@@ -45,7 +48,8 @@
     let (few, many) = ([&[1.0][..], &[0.0; 99]].concat(), [[1.0; 25], [0.0; 25]].concat());
     assert_eq!(sends(&few, 2), (4, 4));
     assert_eq!(sends(&many, 2), (2, 2));
-    let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 1.0)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(1));
     balancer.admission.paced_until = NOW + 1;
     arrive(&mut balancer, 0, 1);
     assert_eq!(decide(&mut balancer, NOW).len(), 1);
@@ -53,7 +57,8 @@
 
 #[test]
 fn the_last_try_of_a_client_shows_how_much_of_the_latency_objective_has_passed() {
-    let mut balancer = balancer("idempotent", &[("class.0.deadline_us", 3e6)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.classes[0].deadline = 3_000_000);
     balancer.query_arrived(NOW, &query(0, NOW + 2_000_000, 1));
     assert_eq!(balancer.queries[QueryId(0)].latency_objective, NOW + 1_000_000);
     balancer.query_arrived(NOW, &query(1, NOW + 2_500_000, 1));
@@ -62,7 +67,9 @@
 
 #[test]
 fn queries_beyond_a_tenants_quota_wait_behind_others() {
-    let mut balancer = balancer("idempotent", &[("tenant.0.quota_per_s", 1.0)]);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.tenants = vec![TenantSettings { quota_per_second: Some(1.0), ..Default::default() }];
+    });
     for id in 0..4 {
         balancer.query_arrived(NOW, &query(id, NOW + 3_000_000, 1));
     }
@@ -71,7 +78,7 @@
 
 #[test]
 fn nothing_is_sent_for_a_client_that_disconnected() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     arrive(&mut balancer, 0, 1);
     balancer.client_disconnected(NOW, QueryId(0));
     assert!(decide(&mut balancer, NOW).is_empty());
@@ -79,7 +86,7 @@
 
 #[test]
 fn a_query_that_crashes_nodes_is_rejected_and_its_retry_recognized() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     arrive(&mut balancer, 0, 2);
     assert_eq!(decide(&mut balancer, NOW).len(), 2);
     end_attempt(&mut balancer, NOW + 5, attempt(1, 0), NodeId(0), AttemptOutcome::ConnectionLost, 5);
@@ -95,7 +102,7 @@
 
 #[test]
 fn a_shard_request_under_which_a_node_crashed_is_retried_once_another_is_answered() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     arrive(&mut balancer, 0, 2);
     decide(&mut balancer, NOW);
     end_attempt(&mut balancer, NOW + 5, attempt(1, 0), NodeId(0), AttemptOutcome::ConnectionLost, 5);
@@ -105,7 +112,7 @@
 
 #[test]
 fn while_nodes_keep_crashing_a_canary_batch_goes_ahead() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     balancer.admission.crashes.push_times(NOW, 1.0, CANARY_CRASHES);
     arrive(&mut balancer, 0, 2);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 0"]);
--- a/crates/balancer/src/policy/tests/completion.rs
+++ b/crates/balancer/src/policy/tests/completion.rs
@@ -5,8 +5,10 @@
 
 #[test]
 fn a_minimum_permits_a_partial_answer_at_the_latency_objective() {
-    let minimum = [("class.0.completeness_minimum", 0.5), ("class.0.partial_value", 0.8)];
-    let mut balancer = balancer("idempotent", &minimum);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.classes[0].completeness_minimum = 0.5;
+        settings.classes[0].partial_value = 0.8;
+    });
     arrive(&mut balancer, 0, 2);
     decide(&mut balancer, NOW);
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
@@ -17,7 +19,8 @@
 
 #[test]
 fn weights_that_rounding_leaves_short_of_one_fail_no_query() {
-    let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 4.0)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(4));
     for id in [0, 100] {
         balancer.query_arrived(NOW, &query(id, NOW + 3_000_000, 8));
         for index in 0..8 {
@@ -37,8 +40,10 @@
 
 #[test]
 fn below_the_minimum_a_query_fails_just_before_its_deadline() {
-    let mut balancer =
-        balancer("non_idempotent", &[("class.0.completeness_minimum", 0.6), ("class.0.late_value", 0.3)]);
+    let mut balancer = balancer_with(Idempotency::NonIdempotent, |settings| {
+        settings.classes[0].completeness_minimum = 0.6;
+        settings.classes[0].late_value = 0.3;
+    });
     arrive(&mut balancer, 0, 2);
     decide(&mut balancer, NOW);
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
@@ -48,7 +53,8 @@
 
 #[test]
 fn a_second_step_needs_all_its_shard_requests() {
-    let mut balancer = balancer("idempotent", &[("class.0.second_step", 1.0)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.classes[0].second_step = true);
     arrive(&mut balancer, 0, 1);
     decide(&mut balancer, NOW);
     end_attempt(&mut balancer, NOW + 5, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 5);
--- a/crates/balancer/src/policy/tests/discovery.rs
+++ b/crates/balancer/src/policy/tests/discovery.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_draining_or_unlisted_node_gets_nothing_new() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Draining, 0)]);
     assert_eq!(balancer.shards.replicas(0), [NodeId(1)]);
     update_endpoints(&mut balancer, EndpointUpdate::Full, &[(0, EndpointState::Ready, 0)]);
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_polled_list_is_requested_again_later_after_a_failure() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     balancer.site.poll_interval = Some(10_000_000);
     assert_eq!(decide(&mut balancer, NOW), ["watch true"]);
     update_endpoints(&mut balancer, EndpointUpdate::Failed, &[]);
@@ -29,7 +29,7 @@
 #[test]
 fn a_removed_node_is_released_once_nothing_refers_to_it() {
     for update in [EndpointUpdate::Incremental, EndpointUpdate::Full] {
-        let mut balancer = balancer("idempotent", &[]);
+        let mut balancer = balancer(Idempotency::Idempotent);
         arrive(&mut balancer, 10, 1);
         assert_eq!(decide(&mut balancer, NOW), ["send 11 0"]);
         balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 3;
@@ -44,7 +44,7 @@
         assert!(decide(&mut balancer, NOW + 3).is_empty());
     }
     // A draining node is not removed: its attempts may still be answered.
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Draining, 0)]);
     assert!(decide(&mut balancer, NOW).is_empty());
 }
--- a/crates/balancer/src/policy/tests/endpoint_health.rs
+++ b/crates/balancer/src/policy/tests/endpoint_health.rs
@@ -5,13 +5,13 @@
 
 #[test]
 fn endpoint_health_is_what_decisions_go_by() {
-    let cold = [
-        ("rules.cold_overload_window_us", 1e6),
-        ("rules.cold_overload_multiple", 2.0),
-        ("rules.cold_capacity_share", 0.25),
-    ];
-    let mut balancer =
-        balancer("idempotent", &[&cold[..], &[("rules.warm_up_us", 10e6), ("routers", 4.0)]].concat());
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.rules.cold_overload_window = 1_000_000;
+        settings.rules.cold_overload_multiple = 2.0;
+        settings.rules.cold_capacity_share = 0.25;
+        settings.rules.warm_up = 10_000_000;
+        settings.routers = 4.0;
+    });
     let nodes = [(0, EndpointState::Ready, NOW - 6_000_000), (1, EndpointState::Draining, 0)];
     assert!(update_endpoints(&mut balancer, EndpointUpdate::Incremental, &nodes).0.is_empty());
     // A quarter at first, and half of the rest 5 s after the window of 1 s: 0.25 + 0.75 / 2 of a core, twice
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_load_report_ejects_a_node_only_when_most_requests_failed() {
-    let mut balancer = balancer("idempotent", &[("routers", 2.0)]);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| settings.routers = 2.0);
     let report =
         |succeeded, failed| LoadReport { succeeded, failed, mean_latency: 1000, ..LoadReport::default() };
     balancer.load_reported(NOW, NodeId(0), &report(5.0, 5.0));
@@ -55,7 +55,7 @@
 
 #[test]
 fn new_work_is_shed_by_the_share_that_exceeds_capacity() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     let report =
         |in_flight| LoadReport { succeeded: 1.0, in_flight, mean_latency: 1000, ..LoadReport::default() };
     balancer.load_reported(NOW, NodeId(0), &report(8.0));
--- a/crates/balancer/src/policy/tests/fleet.rs
+++ b/crates/balancer/src/policy/tests/fleet.rs
@@ -45,28 +45,33 @@
 }
 
 fn settings() -> Settings {
-    let mut settings = Settings::default();
-    for (name, value) in [
-        ("shards.replica_sets", 40.0),
-        ("shards.replica_sets_per_shard", 1.0),
-        ("routers", 300.0),
-        ("batch.max_shard_requests", 4.0),
-        ("batch.work_us", 7_000.0),
-        ("limits.max_attempts", 3.0),
-        ("decision_interval_us", 5_000.0),
-        ("rules.cold_overload_window_us", 3e6),
-        ("rules.cold_overload_multiple", 2.5),
-        ("rules.cold_capacity_share", 0.2),
-        ("rules.warm_up_us", 18e6),
-    ] {
-        settings.set(name, Value::Number(value));
+    let class = ClassSettings {
+        idempotency: Idempotency::Idempotent,
+        latency_objective: Some(300_000),
+        deadline: 1_000_000,
+        ..Default::default()
+    };
+    let rules = RuleSettings {
+        cold_overload_window: 3_000_000,
+        cold_overload_multiple: 2.5,
+        cold_capacity_share: 0.2,
+        warm_up: 18_000_000,
+        ..Default::default()
+    };
+    Settings {
+        shards: ShardSettings {
+            replica_sets: Some(40),
+            replica_sets_per_shard: Some(1),
+            ..Default::default()
+        },
+        routers: 300.0,
+        batch: BatchSettings { max_shard_requests: Some(4), work: 7_000 },
+        limits: LimitSettings { max_attempts: Some(3), ..Default::default() },
+        decision_interval: 5_000,
+        rules,
+        classes: vec![class.clone(), class],
+        ..Default::default()
     }
-    for class in 0..2 {
-        settings.set(&format!("class.{class}.idempotency"), Value::Text("idempotent".into()));
-        settings.set(&format!("class.{class}.latency_objective_us"), Value::Number(300_000.0));
-        settings.set(&format!("class.{class}.deadline_us"), Value::Number(1e6));
-    }
-    settings
 }
 
 impl Fleet {
--- a/crates/balancer/src/policy/tests/health.rs
+++ b/crates/balancer/src/policy/tests/health.rs
@@ -6,7 +6,7 @@
 #[test]
 fn a_failed_connection_is_not_held_against_a_node_that_answered_meanwhile() {
     for (answered, ejected) in [(NOW + 100_000, false), (NOW - 100_000, true)] {
-        let mut balancer = balancer("idempotent", &[]);
+        let mut balancer = balancer(Idempotency::Idempotent);
         balancer.learn(answered, observation(0, 0, AttemptOutcome::Succeeded, 5));
         balancer.learn(NOW + 250_000, observation(0, 0, AttemptOutcome::ConnectFailed, 250_000));
         let node = &balancer.nodes[NodeId(0)];
@@ -19,7 +19,7 @@
 
 #[test]
 fn a_failing_node_is_ejected_for_longer_each_time_until_it_restarts() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     balancer.learn(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
     balancer.learn(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
     assert_eq!(
@@ -37,7 +37,7 @@
 
 #[test]
 fn a_rejecting_node_is_not_used_until_it_answers() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     balancer.learn(NOW, observation(0, 0, AttemptOutcome::Rejected, 5));
     assert_eq!(balancer.preference(NOW + 50_000, NodeId(0), 0), Preference::Unavailable);
     balancer.learn(NOW + 60_000, observation(0, 0, AttemptOutcome::Succeeded, 5));
@@ -46,7 +46,7 @@
 
 #[test]
 fn latencies_near_the_objective_reduce_the_concurrency_limit() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     balancer.adjust_concurrency_limit(NOW, observation(0, 0, AttemptOutcome::Succeeded, 600_000));
     assert!(balancer.nodes[NodeId(0)].concurrency_limit < 3.0);
     balancer.adjust_concurrency_limit(NOW + 1, observation(0, 0, AttemptOutcome::Succeeded, 100_000));
@@ -55,7 +55,7 @@
 
 #[test]
 fn an_unreachable_node_counts_as_warming_up_until_it_answers_in_time() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     let rule = &mut balancer.site.cold_overload;
     (rule.window, rule.multiple) = (3_000_000, 1.0);
     (rule.initial_capacity, rule.warm_up) = (0.1, 10_000_000);
@@ -79,7 +79,7 @@
 
 #[test]
 fn cross_zone_latency_is_not_held_against_a_node() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     balancer.statistics.cross_zone = vec![0, 400_000];
     balancer.nodes[NodeId(1)].zone = 1;
     balancer.adjust_concurrency_limit(NOW, observation(1, 0, AttemptOutcome::Succeeded, 600_000));
@@ -88,7 +88,7 @@
 
 #[test]
 fn idle_connections_are_distrusted_when_only_long_idle_times_end_in_losses() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     for _ in 0..8 {
         balancer.observe_idle(NOW, false, 500_000);
     }
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_silence_is_not_held_against_a_class_that_was_answered() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     balancer.classes.push(balancer.classes[0].clone());
     balancer.nodes[NodeId(0)].class_record_mut(1).last_success_at = NOW;
     balancer.learn(NOW + 5, observation(0, 0, AttemptOutcome::TimedOut, 2_000_000));
@@ -123,7 +123,8 @@
 #[test]
 fn a_suspect_node_gets_one_batch_at_a_time_until_it_answers() {
     for outcome in [AttemptOutcome::MalformedResponse, AttemptOutcome::ConnectionLost] {
-        let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 4.0)]);
+        let mut balancer =
+            balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(4));
         assert_eq!(after_first_attempt(&mut balancer, outcome, NOW + 9), ["send 11 1"]);
         balancer.learn(NOW + 10, observation(0, 0, outcome, 9));
         let node = &balancer.nodes[NodeId(0)];
--- a/crates/balancer/src/policy/tests/retries.rs
+++ b/crates/balancer/src/policy/tests/retries.rs
@@ -7,7 +7,7 @@
 fn proof_that_nothing_was_executed_permits_a_non_idempotent_retry() {
     for outcome in [AttemptOutcome::Rejected, AttemptOutcome::ConnectFailed] {
         assert_eq!(
-            after_first_attempt(&mut balancer("non_idempotent", &[]), outcome, NOW + 5),
+            after_first_attempt(&mut balancer(Idempotency::NonIdempotent), outcome, NOW + 5),
             ["send 11 1"]
         );
     }
@@ -17,7 +17,7 @@
 fn without_proof_a_non_idempotent_query_fails() {
     for outcome in [AttemptOutcome::ServerError, AttemptOutcome::ConnectionLost, AttemptOutcome::TimedOut] {
         assert_eq!(
-            after_first_attempt(&mut balancer("non_idempotent", &[]), outcome, NOW + 5),
+            after_first_attempt(&mut balancer(Idempotency::NonIdempotent), outcome, NOW + 5),
             ["10 Failed"]
         );
     }
@@ -26,16 +26,19 @@
 #[test]
 fn an_idempotent_shard_request_is_retried_elsewhere_after_any_failure() {
     for outcome in [AttemptOutcome::ServerError, AttemptOutcome::ConnectionLost, AttemptOutcome::TimedOut] {
-        assert_eq!(after_first_attempt(&mut balancer("idempotent", &[]), outcome, NOW + 5), ["send 11 1"]);
+        assert_eq!(
+            after_first_attempt(&mut balancer(Idempotency::Idempotent), outcome, NOW + 5),
+            ["send 11 1"]
+        );
     }
 }
 
 #[test]
 fn a_shard_request_with_an_idempotency_key_is_retried_only_within_the_window() {
-    let repeat = [("class.0.idempotency_window_us", 500_000.0)];
+    let repeat = |settings: &mut Settings| settings.classes[0].idempotency_window = 500_000;
     assert_eq!(
         after_first_attempt(
-            &mut balancer("idempotency_key", &repeat),
+            &mut balancer_with(Idempotency::Keyed, repeat),
             AttemptOutcome::ConnectionLost,
             NOW + 400_000
         ),
@@ -43,7 +46,7 @@
     );
     assert_eq!(
         after_first_attempt(
-            &mut balancer("idempotency_key", &repeat),
+            &mut balancer_with(Idempotency::Keyed, repeat),
             AttemptOutcome::ConnectionLost,
             NOW + 499_000
         ),
@@ -53,7 +56,8 @@
 
 #[test]
 fn attempts_end_at_the_maximum_and_an_idempotent_query_is_then_rejected() {
-    let mut balancer = balancer("idempotent", &[("limits.max_attempts", 1.0)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.limits.max_attempts = Some(1));
     assert_eq!(
         after_first_attempt(&mut balancer, AttemptOutcome::ConnectionLost, NOW + 5),
         ["10 Rejected(0)"]
@@ -62,7 +66,10 @@
 
 #[test]
 fn retries_stay_within_the_budget_of_the_window() {
-    let mut balancer = balancer("idempotent", &[("rules.retry_share", 0.5), ("rules.retry_window_us", 1e6)]);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.rules.retry_share = Some(0.5);
+        settings.rules.retry_window = 1_000_000;
+    });
     balancer.admission.arrivals.push(NOW, 2.0);
     assert!(balancer.budget_left(NOW + 999_999, Repeat::Retry) >= 1.0);
     balancer.retries.push(NOW, 1.0);
@@ -71,7 +78,8 @@
 
 #[test]
 fn a_late_attempt_is_hedged_at_another_node() {
-    let mut balancer = balancer("idempotent", &[("class.0.late_value", 0.3)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.classes[0].late_value = 0.3);
     balancer.statistics.latencies.push_times(NOW, 100_000.0, 16);
     arrive(&mut balancer, 0, 1);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 0"]);
@@ -83,7 +91,10 @@
 
 #[test]
 fn a_query_that_needs_more_retries_than_the_budget_has_ends_at_once() {
-    let mut balancer = balancer("idempotent", &[("rules.retry_share", 0.0), ("rules.free_retries", 1.0)]);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.rules.retry_share = Some(0.0);
+        settings.rules.free_retries = 1.0;
+    });
     arrive(&mut balancer, 0, 4);
     decide(&mut balancer, NOW);
     for (id, node) in [(1, 0), (3, 0)] {
--- a/crates/balancer/src/policy/tests/rig.rs
+++ b/crates/balancer/src/policy/tests/rig.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 pub use crate::{
-    AttemptId, AttemptNumber, Endpoint, EndpointState, EndpointUpdate, Events, Settings, ShardRequestArrival,
-    Value,
+    AttemptId, AttemptNumber, BatchSettings, ClassSettings, Endpoint, EndpointState, EndpointUpdate, Events,
+    LimitSettings, RuleSettings, Settings, ShardRequestArrival, ShardSettings, TenantSettings,
 };
 
 /// Records what the balancer asks for.
@@ -36,20 +36,20 @@
 pub const NOW: Micros = 100_000_000;
 
 /// A balancer with one service class, two replica sets and nodes 0 and 1 that each hold every shard.
-pub fn balancer(idempotency: &str, numbers: &[(&str, f64)]) -> Balancer {
-    let mut settings = Settings::default();
-    settings.set("class.0.idempotency", Value::Text(idempotency.into()));
-    settings.set("limits.hedging", Value::Flag(true));
-    settings.set("limits.cancellation", Value::Flag(true));
-    let base = [
-        ("shards.replica_sets", 2.0),
-        ("shards.replica_sets_per_shard", 2.0),
-        ("class.0.latency_objective_us", 1e6),
-        ("limits.max_attempts", 3.0),
-    ];
-    for (name, value) in base.iter().chain(numbers) {
-        settings.set(name, Value::Number(*value));
-    }
+pub fn balancer(idempotency: Idempotency) -> Balancer {
+    balancer_with(idempotency, |_| {})
+}
+
+/// The same with settings that `adjust` changes.
+pub fn balancer_with(idempotency: Idempotency, adjust: impl FnOnce(&mut Settings)) -> Balancer {
+    let class = ClassSettings { idempotency, latency_objective: Some(1_000_000), ..Default::default() };
+    let mut settings = Settings { classes: vec![class], ..Default::default() };
+    settings.shards.replica_sets = Some(2);
+    settings.shards.replica_sets_per_shard = Some(2);
+    settings.limits.max_attempts = Some(3);
+    settings.limits.hedging = true;
+    settings.limits.cancellation = true;
+    adjust(&mut settings);
     let mut balancer = Balancer::new(2, settings);
     balancer.ensure_classes(1);
     let nodes = [(0, EndpointState::Ready, 0), (1, EndpointState::Ready, 0)];
--- a/crates/balancer/src/policy/tests/selection.rs
+++ b/crates/balancer/src/policy/tests/selection.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_query_fans_out_to_the_least_recently_used_nodes_and_completes_once_all_have_answered() {
-    let mut balancer = balancer("idempotent", &[]);
+    let mut balancer = balancer(Idempotency::Idempotent);
     arrive(&mut balancer, 0, 2);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 0", "send 2 1"]);
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
@@ -17,7 +17,7 @@
 #[test]
 fn routers_without_measurements_start_at_different_nodes() {
     let first = |seed| {
-        let mut balancer = balancer("idempotent", &[]);
+        let mut balancer = balancer(Idempotency::Idempotent);
         balancer.random = fastrand::Rng::with_seed(seed);
         balancer.nodes.clear();
         update_endpoints(
@@ -34,14 +34,15 @@
 
 #[test]
 fn shard_requests_share_a_batch_where_batches_carry_several() {
-    let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 4.0)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(4));
     arrive(&mut balancer, 0, 2);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 0", "send 2 0"]);
 }
 
 #[test]
 fn a_non_idempotent_shard_request_avoids_a_node_that_failed_recently() {
-    let mut balancer = balancer("non_idempotent", &[]);
+    let mut balancer = balancer(Idempotency::NonIdempotent);
     balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 1;
     arrive(&mut balancer, 0, 1);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 1"]);
@@ -49,7 +50,8 @@
 
 #[test]
 fn a_filled_node_is_used_again_for_a_full_batch() {
-    let mut balancer = balancer("idempotent", &[("batch.max_shard_requests", 4.0)]);
+    let mut balancer =
+        balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(4));
     arrive(&mut balancer, 0, 8);
     decide(&mut balancer, NOW);
     arrive(&mut balancer, 20, 8);
@@ -65,12 +67,11 @@
 
 #[test]
 fn a_warming_node_gets_no_more_than_this_routers_share() {
-    let cold = [
-        ("rules.warm_up_us", 1e7),
-        ("rules.cold_overload_window_us", 3e6),
-        ("rules.cold_capacity_share", 0.2),
-    ];
-    let mut balancer = balancer("idempotent", &cold);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.rules.warm_up = 10_000_000;
+        settings.rules.cold_overload_window = 3_000_000;
+        settings.rules.cold_capacity_share = 0.2;
+    });
     (balancer.site.cold_overload.multiple, balancer.site.routers) = (2.0, 3.0);
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW)]);
     // 2 x 0.2 x 3 s / 3 is 400 ms of work; a shard request counts as 100 ms until latencies are known.
@@ -86,8 +87,11 @@
 
 #[test]
 fn among_many_routers_a_warming_node_gets_a_batch_once_its_allowance_is_saved_up() {
-    let cold = [("rules.warm_up_us", 1e7), ("rules.cold_overload_window_us", 3e6), ("routers", 100.0)];
-    let mut balancer = balancer("idempotent", &cold);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.rules.warm_up = 10_000_000;
+        settings.rules.cold_overload_window = 3_000_000;
+        settings.routers = 100.0;
+    });
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW)]);
     balancer.statistics.mean_work_rate = 0.1;
     assert!(
@@ -105,7 +109,7 @@
 fn the_mean_work_rate_counts_from_the_start_of_the_router() {
     // Half a second of work at two nodes within a second of the first decision, or within ten.
     let average = |up: Micros| {
-        let mut balancer = balancer("idempotent", &[]);
+        let mut balancer = balancer(Idempotency::Idempotent);
         balancer.refresh_statistics(NOW - up);
         balancer.statistics.work_sent.push(NOW - 10, 500_000.0);
         balancer.refresh_statistics(NOW);
@@ -116,7 +120,10 @@
 
 #[test]
 fn among_many_routers_a_small_limit_is_a_pause_and_a_suspect_node_gets_one_shard_request() {
-    let mut balancer = balancer("idempotent", &[("routers", 64.0), ("batch.max_shard_requests", 4.0)]);
+    let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
+        settings.routers = 64.0;
+        settings.batch.max_shard_requests = Some(4);
+    });
     balancer.nodes[NodeId(0)].concurrency_limit = 1.0;
     balancer.adjust_concurrency_limit(NOW, observation(0, 0, AttemptOutcome::Succeeded, 500_000));
     assert!(balancer.nodes[NodeId(0)].resumes_at > NOW + 1_000_000);
@@ -130,7 +137,7 @@
 
 #[test]
 fn a_non_idempotent_shard_request_avoids_a_node_that_fails_a_tenth_of_its_attempts() {
-    let mut balancer = balancer("non_idempotent", &[]);
+    let mut balancer = balancer(Idempotency::NonIdempotent);
     for offset in 0..10 {
         balancer.learn(NOW + offset, observation(0, 0, AttemptOutcome::Succeeded, 9));
     }
--- a/crates/balancer/src/state/admission_state.rs
+++ b/crates/balancer/src/state/admission_state.rs
@@ -4,7 +4,7 @@
 use super::query::QueryFingerprint;
 use super::samples_retained::SamplesRetained;
 use super::sliding_window::SlidingWindow;
-use crate::{Micros, Settings};
+use crate::{Micros, TenantSettings};
 
 /// What a tenant asks, and what it may ask.
 pub struct TenantUsage {
@@ -58,11 +58,11 @@
 
     /// Counts a query of a tenant, whose quota is read when it is first seen.
     pub fn count_query(
-        &mut self, now: Micros, tenant: usize, settings: &Settings, retained: &SamplesRetained,
+        &mut self, now: Micros, tenant: usize, settings: &[TenantSettings], retained: &SamplesRetained,
     ) -> &TenantUsage {
         let unknown = self.tenants.len()..=tenant;
         self.tenants.extend(unknown.map(|tenant| {
-            let quota = settings.number(&format!("tenant.{tenant}.quota_per_s"));
+            let quota = settings.get(tenant).and_then(|tenant| tenant.quota_per_second);
             TenantUsage {
                 arrivals: SlidingWindow::new(retained.tenant_arrivals),
                 quota_per_second: quota.unwrap_or(f64::INFINITY),
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -28,7 +28,7 @@
 pub use query::Query;
 pub use query_table::{Progress, QueryTable};
 pub use samples_retained::SamplesRetained;
-pub use service_class::{Completeness, Idempotency, ServiceClass};
+pub use service_class::{Completeness, ServiceClass};
 pub use shard_map::ShardMap;
 pub use shard_request::{Repeat, ShardRequest};
 pub use site_settings::SiteSettings;
--- a/crates/balancer/src/state/service_class.rs
+++ b/crates/balancer/src/state/service_class.rs
@@ -2,29 +2,7 @@
 
 use super::samples_retained::SamplesRetained;
 use super::sliding_window::SlidingWindow;
-use crate::{Micros, Settings};
-
-/// Whether an attempt may be repeated.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Idempotency {
-    /// Repeating it changes nothing.
-    Idempotent,
-    /// A repeat within a window is recognized by its key.
-    Keyed,
-    /// Repeating it may execute it twice.
-    NonIdempotent,
-}
-
-impl Idempotency {
-    /// The kind with this name in the settings; an unknown name is taken for the strictest.
-    pub fn from_name(name: &str) -> Self {
-        match name {
-            "idempotent" => Idempotency::Idempotent,
-            "idempotency_key" => Idempotency::Keyed,
-            _ => Idempotency::NonIdempotent,
-        }
-    }
-}
+use crate::{ClassSettings, Idempotency, Micros};
 
 /// The weights of shards that an answer needs.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -69,32 +47,23 @@
 }
 
 impl ServiceClass {
-    /// Reads the settings of `class`. Without a latency objective its deadline takes the place.
-    pub fn new(settings: &Settings, class: usize, retained: &SamplesRetained) -> Self {
-        let name = |name| format!("class.{class}.{name}");
-        let number = |key, absent| settings.number(&name(key)).unwrap_or(absent);
-        let deadline = number("deadline_us", 0.0);
+    /// A class without measurements. Without a latency objective its deadline takes the place.
+    pub fn new(settings: &ClassSettings, retained: &SamplesRetained) -> Self {
         ServiceClass {
-            idempotency: Idempotency::from_name(settings.text(&name("idempotency"))),
-            latency_objective: number("latency_objective_us", deadline) as Micros,
-            latency_objective_stretch: number("latency_objective_stretch", 0.0),
-            deadline: deadline as Micros,
-            late_value: number("late_value", 0.0),
-            partial_value: number("partial_value", 0.0),
-            completeness_required: number("completeness_required", 1.0),
-            completeness_minimum: number("completeness_minimum", 1.0),
-            priority_weight: number("priority_weight", 1.0),
-            idempotency_window: number("idempotency_window_us", 0.0) as Micros,
-            second_step: number("second_step", 0.0) >= 1.0,
+            idempotency: settings.idempotency,
+            latency_objective: settings.latency_objective_or_deadline(),
+            latency_objective_stretch: settings.latency_objective_stretch,
+            deadline: settings.deadline,
+            late_value: settings.late_value,
+            partial_value: settings.partial_value,
+            completeness_required: settings.completeness_required,
+            completeness_minimum: settings.completeness_minimum,
+            priority_weight: settings.priority_weight,
+            idempotency_window: settings.idempotency_window,
+            second_step: settings.second_step,
             durations: SlidingWindow::new(retained.class_durations),
             usual_duration: 0,
             time_allowed: SlidingWindow::new(retained.class_times_allowed),
         }
     }
-
-    /// How many classes the settings name.
-    pub fn count_named(settings: &Settings) -> usize {
-        let is_named = |class: &usize| !settings.text(&format!("class.{class}.name")).is_empty();
-        (0..).take_while(is_named).count()
-    }
 }
--- a/crates/balancer/src/state/shard_map.rs
+++ b/crates/balancer/src/state/shard_map.rs
@@ -1,7 +1,7 @@
 //! Which nodes hold a shard.
 
 use super::node_table::NodeTable;
-use crate::{NodeId, Settings};
+use crate::{NodeId, ShardSettings};
 use std::collections::BTreeMap;
 
 /// Which replica sets hold a shard, and the ready nodes of each. A shard is held by as many consecutive
@@ -16,11 +16,13 @@
 
 impl ShardMap {
     /// A map without nodes.
-    pub fn new(settings: &Settings) -> Self {
-        let count = |name| settings.number(name).unwrap_or(1.0).max(1.0) as usize;
-        let set_count = count("shards.replica_sets");
-        let sets_per_shard = count("shards.replica_sets_per_shard").min(set_count);
-        ShardMap { sets_per_shard, set_count, ready_by_set: BTreeMap::new(), ready_nodes: 0 }
+    pub fn new(settings: &ShardSettings) -> Self {
+        ShardMap {
+            sets_per_shard: settings.replica_sets_per_shard_or_one(),
+            set_count: settings.replica_sets_or_one(),
+            ready_by_set: BTreeMap::new(),
+            ready_nodes: 0,
+        }
     }
 
     /// How many nodes are ready.
--- a/crates/balancer/src/state/site_settings.rs
+++ b/crates/balancer/src/state/site_settings.rs
@@ -1,6 +1,6 @@
 //! The settings of the site, read once at the start.
 
-use crate::{Micros, Settings};
+use crate::{DiscoveryMode, Micros, Settings};
 
 /// How much more work than it can take a node that is warming up may be sent in a window.
 #[derive(Clone, Copy, Default)]
@@ -58,34 +58,31 @@
 }
 
 impl SiteSettings {
-    /// Reads the settings; one that is absent limits nothing and enables nothing.
+    /// What the balancer takes where settings are absent: one attempt, and batches of one shard request.
     pub fn new(settings: &Settings) -> Self {
-        let number = |name, absent| settings.number(name).unwrap_or(absent);
-        let micros = |name| number(name, 0.0) as Micros;
-        let polled = settings.text("discovery.mode") == "polled";
-        let advises_clients = settings.flag("limits.retry_after");
-        let max_retry_after = micros("limits.max_retry_after_us");
+        let Settings { batch, limits, rules, .. } = settings;
+        let polled = settings.discovery_mode == DiscoveryMode::Polled;
         SiteSettings {
-            zone: number("zone", 0.0) as usize,
-            routers: number("routers", 1.0).max(1.0),
-            decision_interval: micros("decision_interval_us"),
-            max_batch: number("batch.max_shard_requests", 1.0).max(1.0) as usize,
-            batch_work: number("batch.work_us", 0.0),
-            max_attempts: number("limits.max_attempts", 1.0) as usize,
-            hedging: settings.flag("limits.hedging"),
-            cancellation: settings.flag("limits.cancellation"),
-            priority_by_work: settings.text("priority_by") == "work",
-            retry_after: (advises_clients && max_retry_after > 0).then_some(max_retry_after),
-            poll_interval: polled.then_some(micros("rules.poll_within_us")),
+            zone: settings.zone,
+            routers: settings.routers,
+            decision_interval: settings.decision_interval,
+            max_batch: batch.max_shard_requests.unwrap_or(1).max(1),
+            batch_work: batch.work as f64,
+            max_attempts: limits.max_attempts.unwrap_or(1),
+            hedging: limits.hedging,
+            cancellation: limits.cancellation,
+            priority_by_work: settings.priority_by_work,
+            retry_after: (limits.retry_after && limits.max_retry_after > 0).then_some(limits.max_retry_after),
+            poll_interval: polled.then_some(rules.poll_within),
             cold_overload: ColdOverloadRule {
-                window: micros("rules.cold_overload_window_us"),
-                multiple: number("rules.cold_overload_multiple", 1.0),
-                initial_capacity: number("rules.cold_capacity_share", 1.0),
-                warm_up: micros("rules.warm_up_us"),
+                window: rules.cold_overload_window,
+                multiple: rules.cold_overload_multiple,
+                initial_capacity: rules.cold_capacity_share,
+                warm_up: rules.warm_up,
             },
-            retry_budget: settings.number("rules.retry_share").map(|share| RetryBudget {
-                window: micros("rules.retry_window_us"),
-                free: number("rules.free_retries", 0.0),
+            retry_budget: rules.retry_share.map(|share| RetryBudget {
+                window: rules.retry_window,
+                free: rules.free_retries,
                 share,
             }),
         }
--- a/crates/control-plane/src/encode/routes.rs
+++ b/crates/control-plane/src/encode/routes.rs
@@ -3,7 +3,8 @@
 use super::{ROUTE_CONFIGURATION, duration, uint32};
 use crate::desired_state::{ConstrainedNode, DesiredState, ReplicaSet, replica_set_cluster_name};
 use crate::resource::Resource;
-use crate::site_settings::{Idempotency, ServiceClass, SiteSettings};
+use crate::site_settings::{ServiceClass, SiteSettings};
+use balancer::Idempotency;
 use prost::Message;
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::config::route::v3 as rds;
--- a/crates/control-plane/src/site_settings.rs
+++ b/crates/control-plane/src/site_settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings that the control plane uses, as typed values.
 
-use balancer::{Micros, Settings};
-use query_router::config::{Config, names_in_list};
+use balancer::{ClassSettings, DiscoveryMode, Idempotency, Micros, Settings};
+use query_router::config::Config;
 use std::time::Duration;
 
 /// The connect timeout where the settings name none.
@@ -9,22 +9,6 @@
 /// The shortest time in which a probe of a data node may connect.
 const MIN_PROBE_TIMEOUT: Micros = 1000;
 
-/// Whether a request of a service class may be repeated.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Idempotency {
-    Idempotent,
-    /// Only with an idempotency key, which a proxy cannot keep.
-    Keyed,
-    NonIdempotent,
-}
-
-/// How the platform notifies of changes of the endpoint list.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum DiscoveryMode {
-    Polled,
-    Pushed,
-}
-
 /// The values of a service class that resources carry.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceClass {
@@ -61,25 +45,21 @@
 impl SiteSettings {
     /// Reads the settings of a configuration.
     pub fn new(config: &Config) -> SiteSettings {
-        let settings = &config.settings;
-        let replica_sets = count(settings, "shards.replica_sets");
-        let probe_timeout = config.micros("limits.connect_timeout_us").max(MIN_PROBE_TIMEOUT);
-        let polled = settings.text("discovery.mode") == "polled";
+        let Settings { shards, limits, rules, .. } = &config.settings;
+        let probe_timeout = limits.connect_timeout.unwrap_or(0).max(MIN_PROBE_TIMEOUT);
         SiteSettings {
-            zones: names_in_list(settings, "zone"),
-            classes: service_classes(settings),
-            replica_sets,
-            shards: count(settings, "shards.count"),
-            replica_sets_per_shard: count(settings, "shards.replica_sets_per_shard").min(replica_sets),
-            max_attempts: count(settings, "limits.max_attempts") as u32,
-            connect_timeout: settings
-                .number("limits.connect_timeout_us")
-                .map_or(DEFAULT_CONNECT_TIMEOUT, |timeout| timeout as Micros),
+            zones: config.settings.zones.clone(),
+            classes: config.settings.named_classes().map(ServiceClass::new).collect(),
+            replica_sets: shards.replica_sets_or_one(),
+            shards: shards.count.unwrap_or(1).max(1),
+            replica_sets_per_shard: shards.replica_sets_per_shard_or_one(),
+            max_attempts: limits.max_attempts.unwrap_or(1).max(1) as u32,
+            connect_timeout: limits.connect_timeout.unwrap_or(DEFAULT_CONNECT_TIMEOUT),
             probe_timeout: Duration::from_micros(probe_timeout as u64),
-            retry_share: settings.number("rules.retry_share"),
-            free_retries: settings.number("rules.free_retries").unwrap_or(0.0),
-            drain_grace: config.micros("rules.drain_grace_us").max(1),
-            discovery_mode: if polled { DiscoveryMode::Polled } else { DiscoveryMode::Pushed },
+            retry_share: rules.retry_share,
+            free_retries: rules.free_retries,
+            drain_grace: rules.drain_grace.max(1),
+            discovery_mode: config.settings.discovery_mode,
         }
     }
 
@@ -101,30 +81,14 @@
     }
 }
 
-fn service_classes(settings: &Settings) -> Vec<ServiceClass> {
-    let names = names_in_list(settings, "class");
-    names.into_iter().enumerate().map(|(index, name)| service_class(settings, index, name)).collect()
-}
-
-fn service_class(settings: &Settings, index: usize, name: String) -> ServiceClass {
-    let key = |field: &str| format!("class.{index}.{field}");
-    let deadline = settings.number(&key("deadline_us")).unwrap_or(0.0) as Micros;
-    let latency_objective =
-        settings.number(&key("latency_objective_us")).map_or(deadline, |objective| objective as Micros);
-    let late_value = settings.number(&key("late_value")).unwrap_or(0.0);
-    ServiceClass {
-        name,
-        idempotency: match settings.text(&key("idempotency")) {
-            "idempotent" => Idempotency::Idempotent,
-            "idempotency_key" => Idempotency::Keyed,
-            _ => Idempotency::NonIdempotent,
-        },
-        latency_objective,
-        request_timeout: if late_value > 0.0 { deadline } else { latency_objective },
+impl ServiceClass {
+    fn new(settings: &ClassSettings) -> ServiceClass {
+        let latency_objective = settings.latency_objective_or_deadline();
+        ServiceClass {
+            name: settings.name.clone(),
+            idempotency: settings.idempotency,
+            latency_objective,
+            request_timeout: if settings.late_value > 0.0 { settings.deadline } else { latency_objective },
+        }
     }
 }
-
-/// A setting that counts something; at least 1.
-fn count(settings: &Settings, name: &str) -> usize {
-    settings.number(name).unwrap_or(1.0).max(1.0) as usize
-}
--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -7,25 +7,14 @@
 
 pub use error::{ConfigError, ConfigFileError, ExpectedType};
 
-use balancer::{Micros, Settings};
+use balancer::{ClassSettings, Idempotency, Settings};
 use serde_json::Value as Json;
-use settings_schema::parse_settings;
+use settings_schema::StatedSettings;
 use std::net::SocketAddr;
 
 /// The bytes of a mebibyte, in which `limits.memory_mb` is stated.
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// The settings that must be at least 1: the balancer's name, and the name in the file.
-const REQUIRED_SETTINGS: [(&str, &str); 7] = [
-    ("shards.replica_sets", "familyInfo.sets"),
-    ("shards.count", "familyInfo.shards"),
-    ("shards.replica_sets_per_shard", "familyInfo.width"),
-    ("batch.max_shard_requests", "familyInfo.bundleMax"),
-    ("limits.max_requests_per_connection", "ceilings.maxStreams"),
-    ("limits.connect_timeout_us", "ceilings.connectTimeoutNs"),
-    ("limits.idle_timeout_us", "ceilings.idleCloseNs"),
-];
-
 /// What a router needs to know at its start.
 #[derive(Debug)]
 pub struct Config {
@@ -43,14 +32,10 @@
     pub max_memory_bytes: Option<usize>,
     /// The endpoint list that was last known, in discovery's form.
     pub cached_endpoints: Json,
-    /// The settings of the deployment under the balancer's names.
+    /// The settings of the deployment.
     pub settings: Settings,
-}
-
-/// The names in a list of settings such as `class`, in the order of their indices.
-pub fn names_in_list(settings: &Settings, list: &str) -> Vec<String> {
-    let name = |index: usize| settings.text(&format!("{list}.{index}.name")).to_string();
-    (0..).map(name).take_while(|name| !name.is_empty()).collect()
+    /// The same as the file states them, with those that no code reads.
+    pub stated_settings: StatedSettings,
 }
 
 impl Config {
@@ -74,7 +59,7 @@
         let json: Json = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let fields = Fields(&json);
         let settings = fields.required("settings")?;
-        let settings = parse_settings(settings)?;
+        let stated_settings = StatedSettings::parse(settings)?;
         let seed = fields.text("seed")?;
         let cached_endpoints = fields.cached_endpoints()?;
         fields.required("limits/sockets")?;
@@ -86,7 +71,8 @@
             seed: parse_seed(seed)?,
             max_sockets: fields.count("limits/sockets")?,
             cached_endpoints,
-            settings,
+            settings: stated_settings.to_settings(),
+            stated_settings,
         };
         config.check_settings()?;
         Ok(config)
@@ -99,54 +85,55 @@
             ("name", self.name == newer.name),
             ("listen", self.listen == newer.listen),
             ("limits", limits(self) == limits(newer)),
-            ("settings", self.settings == newer.settings),
+            ("settings", self.stated_settings == newer.stated_settings),
         ];
         unchanged.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect()
     }
 
     /// Says which setting the router cannot serve with.
     fn check_settings(&self) -> Result<(), ConfigError> {
-        let classes = names_in_list(&self.settings, "class");
-        if classes.is_empty() {
+        if self.settings.named_classes().next().is_none() {
             return Err(ConfigError::NoServiceClass);
         }
-        for (index, class) in classes.into_iter().enumerate() {
-            self.check_service_class(index, class)?;
+        self.settings.named_classes().try_for_each(check_service_class)?;
+        let too_small = required_settings(&self.settings).into_iter().find(|(_, is_positive)| !is_positive);
+        match too_small {
+            Some((field, _)) => Err(ConfigError::SettingTooSmall { field }),
+            None => Ok(()),
         }
-        for (name, field) in REQUIRED_SETTINGS {
-            if self.settings.number(name).is_none_or(|number| number < 1.0) {
-                return Err(ConfigError::SettingTooSmall { field });
-            }
-        }
-        Ok(())
     }
+}
 
-    /// Says why queries of a service class cannot be served.
-    fn check_service_class(&self, index: usize, class: String) -> Result<(), ConfigError> {
-        let number = |setting: &str| self.settings.number(&format!("class.{index}.{setting}"));
-        if number("deadline_us").is_none_or(|deadline| deadline <= 0.0) {
-            return Err(ConfigError::InvalidDeadline { class });
-        }
-        // Without the client's key a node cannot recognize a repeated request, and the protocol has no field
-        // for it.
-        if self.settings.text(&format!("class.{index}.idempotency")) == "idempotency_key" {
-            return Err(ConfigError::UnsupportedIdempotencyKey { class });
-        }
-        if number("second_step").is_some_and(|steps| steps >= 1.0) {
-            return Err(ConfigError::UnsupportedSecondStep { class });
-        }
-        Ok(())
+/// Says why queries of a service class cannot be served.
+fn check_service_class(class: &ClassSettings) -> Result<(), ConfigError> {
+    let name = || class.name.clone();
+    if class.deadline <= 0 {
+        return Err(ConfigError::InvalidDeadline { class: name() });
     }
-
-    /// The setting `name` as a time in microseconds; 0 if it is absent.
-    pub fn micros(&self, name: &str) -> Micros {
-        self.settings.number(name).unwrap_or(0.0) as Micros
+    // Without the client's key a node cannot recognize a repeated request, and the protocol has no field for
+    // it.
+    if class.idempotency == Idempotency::Keyed {
+        return Err(ConfigError::UnsupportedIdempotencyKey { class: name() });
     }
-
-    /// The setting `name` as a count; 0 if it is absent.
-    pub fn count(&self, name: &str) -> usize {
-        self.settings.number(name).unwrap_or(0.0) as usize
+    if class.second_step {
+        return Err(ConfigError::UnsupportedSecondStep { class: name() });
     }
+    Ok(())
+}
+
+/// The settings that must be at least 1, by their path in the file, and whether they are.
+fn required_settings(settings: &Settings) -> [(&'static str, bool); 7] {
+    let Settings { shards, batch, limits, .. } = settings;
+    let is_positive = |count: Option<usize>| count.is_some_and(|count| count >= 1);
+    [
+        ("familyInfo.sets", is_positive(shards.replica_sets)),
+        ("familyInfo.shards", is_positive(shards.count)),
+        ("familyInfo.width", is_positive(shards.replica_sets_per_shard)),
+        ("familyInfo.bundleMax", is_positive(batch.max_shard_requests)),
+        ("ceilings.maxStreams", limits.max_requests_per_connection >= 1),
+        ("ceilings.connectTimeoutNs", limits.connect_timeout.is_some_and(|timeout| timeout >= 1)),
+        ("ceilings.idleCloseNs", limits.idle_timeout >= 1),
+    ]
 }
 
 /// Typed access to the fields of a configuration by their path.
--- a/crates/query-router/src/config/tests.rs
+++ b/crates/query-router/src/config/tests.rs
@@ -68,3 +68,66 @@
     assert!(matches!(error, ConfigFileError::Unreadable { .. }));
     assert!(error.to_string().starts_with("/nonexistent/router.json: "), "{error}");
 }
+
+#[test]
+fn a_changed_setting_needs_a_restart_also_if_no_code_reads_it() {
+    let parse = |config: &Json| Config::parse(&config.to_string()).expect("valid");
+    let running = parse(&valid_config());
+    for (path, value, fields) in [
+        ("tier", Json::from("gold"), &["settings"][..]),
+        ("tickNs", 5_000_000.into(), &["settings"]),
+        ("unknown", 1.into(), &[]),
+    ] {
+        let mut newer = valid_config();
+        newer["settings"][path] = value;
+        assert_eq!(running.fields_needing_restart(&parse(&newer)), fields, "{path}");
+    }
+}
+
+#[test]
+fn each_required_setting_is_named_if_it_is_absent_or_below_one() {
+    for field in [
+        "familyInfo.sets",
+        "familyInfo.shards",
+        "familyInfo.width",
+        "familyInfo.bundleMax",
+        "ceilings.maxStreams",
+        "ceilings.connectTimeoutNs",
+        "ceilings.idleCloseNs",
+    ] {
+        for value in [Json::Null, 0.into(), 0.9.into(), (-1).into(), "1".into(), true.into()] {
+            let mut invalid = valid_config();
+            let path = format!("/settings/{}", field.replace('.', "/"));
+            *invalid.pointer_mut(&path).expect("a field") = value;
+            let error = Config::parse(&invalid.to_string()).expect_err(field).to_string();
+            assert_eq!(error, format!("settings.{field}: it is missing or under 1"));
+        }
+    }
+}
+
+#[test]
+fn a_class_that_cannot_be_served_is_named_with_the_reason() {
+    for (path, value, message) in [
+        ("/settings/services/0/name", Json::Null, "settings.services: no service class is named"),
+        (
+            "/settings/services/0/deadlineNs",
+            999.into(),
+            "settings.services: look: deadlineNs is missing or not positive",
+        ),
+        (
+            "/settings/services/0/idempotency",
+            "idempotency_key".into(),
+            "settings.services: look: idempotency_key is not served",
+        ),
+        (
+            "/settings/familyInfo/secondStep",
+            serde_json::json!([1]),
+            "settings.familyInfo.secondStep: look: second steps are not served",
+        ),
+    ] {
+        let mut invalid = valid_config();
+        invalid["settings"]["familyInfo"]["secondStep"] = serde_json::json!([0]);
+        *invalid.pointer_mut(path).expect("a field") = value;
+        assert_eq!(Config::parse(&invalid.to_string()).expect_err(path).to_string(), message);
+    }
+}
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -3,7 +3,7 @@
 mod idle;
 mod replies;
 
-use crate::config::{Config, names_in_list};
+use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::http::{self, MAX_REQUEST_BYTES, Request};
 use crate::protocol::query_request::{QueryVocabulary, RequestedShard};
@@ -46,9 +46,7 @@
     /// As the configuration says.
     pub fn new(config: &Config) -> Clients {
         let settings = &config.settings;
-        let classes = names_in_list(settings, "class");
-        let deadlines = (0..classes.len()).map(|class| config.micros(&format!("class.{class}.deadline_us")));
-        let max_in_flight = settings.number("limits.max_in_flight").map(|max| max as usize);
+        let deadlines = settings.named_classes().map(|class| class.deadline);
         Clients {
             pending_accepts: 0,
             replies: Replies { longest_deadline: deadlines.max().unwrap_or(0) },
@@ -56,11 +54,11 @@
             max_unconsumed: config
                 .max_memory_bytes
                 .map_or(usize::MAX, |bytes| bytes / UNCONSUMED_SHARE_OF_MEMORY),
-            max_in_flight: max_in_flight.filter(|&max| max > 0),
+            max_in_flight: settings.limits.max_in_flight.filter(|&max| max > 0),
             vocabulary: QueryVocabulary {
-                classes,
-                tenants: names_in_list(settings, "tenant"),
-                shards: config.count("shards.count"),
+                classes: settings.named_classes().map(|class| class.name.clone()).collect(),
+                tenants: settings.named_tenants().map(|tenant| tenant.name.clone()).collect(),
+                shards: settings.shards.count.unwrap_or(0),
             },
         }
     }
--- a/crates/query-router/src/router/context.rs
+++ b/crates/query-router/src/router/context.rs
@@ -33,15 +33,16 @@
 
 impl Limits {
     fn new(config: &Config) -> Limits {
-        let connect_timeout = config.micros("limits.connect_timeout_us");
-        let idle_timeout = config.micros("limits.idle_timeout_us");
+        let limits = &config.settings.limits;
+        let connect_timeout = limits.connect_timeout.unwrap_or(0);
+        let idle_timeout = limits.idle_timeout;
         Limits {
             max_connections: config.max_sockets.saturating_sub(OTHER_DESCRIPTORS).max(1),
-            max_requests_per_connection: config.count("limits.max_requests_per_connection"),
+            max_requests_per_connection: limits.max_requests_per_connection,
             connect_timeout,
             // Closed here before the data node may: a request that crosses its close would be a reset.
             idle_timeout: (idle_timeout - connect_timeout).max(idle_timeout / 2),
-            decision_interval: config.micros("decision_interval_us"),
+            decision_interval: config.settings.decision_interval,
         }
     }
 }
--- a/crates/query-router/src/router/discovery/backoff.rs
+++ b/crates/query-router/src/router/discovery/backoff.rs
@@ -22,7 +22,7 @@
     /// As the configuration says.
     pub fn new(config: &Config) -> WatchBackoff {
         // Where lists are pushed, the platform counts what it has as known at once, with or without a watch.
-        let first_delay = match config.micros("rules.drain_grace_us") / 4 {
+        let first_delay = match config.settings.rules.drain_grace / 4 {
             0 => HEARTBEAT_INTERVAL,
             delay => delay.min(HEARTBEAT_INTERVAL),
         };
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -2,7 +2,7 @@
 
 mod backoff;
 
-use crate::config::{Config, names_in_list};
+use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
 use crate::router::connection::Connection;
 use crate::router::connection::discovery::{
@@ -11,7 +11,7 @@
 };
 use crate::router::context::Context;
 use backoff::WatchBackoff;
-use balancer::{Endpoint, EndpointUpdate, Micros};
+use balancer::{DiscoveryMode, Endpoint, EndpointUpdate, Micros};
 use serde_json::Value as Json;
 use settings_schema::EndpointEntry;
 use std::net::SocketAddr;
@@ -19,15 +19,6 @@
 /// After how long without a message a request counts as silent.
 const SILENCE_TIMEOUT: Micros = 2 * HEARTBEAT_INTERVAL;
 
-/// How the platform notifies of changes.
-#[derive(Clone, Copy, Debug, PartialEq)]
-enum Mode {
-    /// The balancer asks for the list.
-    Polled,
-    /// The router watches all the time.
-    Pushed,
-}
-
 /// What a connection to discovery that has ended or fallen silent means.
 #[derive(Debug)]
 pub enum RequestEnd {
@@ -42,7 +33,7 @@
 /// The requests to discovery.
 pub struct Discovery {
     address: SocketAddr,
-    mode: Mode,
+    mode: DiscoveryMode,
     /// The revision of the last update applied.
     revision: u64,
     watch: Option<ConnectionId>,
@@ -56,21 +47,20 @@
 impl Discovery {
     /// As the configuration says.
     pub fn new(config: &Config) -> Discovery {
-        let polled = config.settings.text("discovery.mode") == "polled";
         Discovery {
             address: config.discovery,
-            mode: if polled { Mode::Polled } else { Mode::Pushed },
+            mode: config.settings.discovery_mode,
             revision: 0,
             watch: None,
             backoff: WatchBackoff::new(config),
-            zones: names_in_list(&config.settings, "zone"),
+            zones: config.settings.zones.clone(),
             unreported_failures: 0,
         }
     }
 
     /// Starts the watch that lasts for as long as the router runs, where lists are pushed.
     pub fn start(&mut self, context: &mut Context) {
-        if self.mode == Mode::Pushed {
+        if self.mode == DiscoveryMode::Pushed {
             self.start_watch(context);
         }
     }
@@ -246,7 +236,7 @@
     /// A request has failed; a watch is started again after a delay.
     pub fn note_failure(&mut self, context: &mut Context) {
         context.counters.discovery_failures += 1;
-        if self.mode == Mode::Pushed && self.watch.is_none() {
+        if self.mode == DiscoveryMode::Pushed && self.watch.is_none() {
             self.backoff.schedule(context);
         }
     }
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -26,11 +26,10 @@
 impl Dispatcher {
     /// As the configuration says.
     pub fn new(config: &Config) -> Dispatcher {
-        let load_by_health_checks = config.settings.text("load_report.transport") == "health_checks";
         Dispatcher {
             waiting: Vec::new(),
-            max_batch_size: config.count("batch.max_shard_requests"),
-            health_check_kind: if load_by_health_checks {
+            max_batch_size: config.settings.batch.max_shard_requests.unwrap_or(0),
+            health_check_kind: if config.settings.load_by_health_checks {
                 HealthCheckKind::Load
             } else {
                 HealthCheckKind::Health
--- a/crates/settings-schema/src/lib.rs
+++ b/crates/settings-schema/src/lib.rs
@@ -12,4 +12,4 @@
 pub use endpoints::{EndpointEntry, endpoint_state};
 pub use ids::IdInterner;
 pub use load::parse_load_metrics;
-pub use settings::{SettingsError, parse_settings};
+pub use settings::{SettingsError, StatedSettings, parse_settings};
--- a/crates/settings-schema/src/settings.rs
+++ b/crates/settings-schema/src/settings.rs
@@ -1,14 +1,18 @@
-//! Translates the platform's settings, a JSON object, to the balancer's map of names and values.
+//! Translates the platform's settings, a JSON object, to the balancer's typed settings.
 //!
-//! The path of a setting is made of the object keys that lead to it, joined by dots; `#` stands for an index
-//! in an array, in the platform's paths and in the balancer's names alike.
+//! The path of a setting is made of the object keys that lead to it, joined by dots; in the table of the known
+//! paths `#` stands for an index in an array.
 
 #[cfg(test)]
 mod tests;
 
 use crate::terms;
-use balancer::{Settings, Value};
+use balancer::{
+    BatchSettings, ClassSettings, DiscoveryMode, Idempotency, LimitSettings, Micros, RuleSettings, Settings,
+    ShardSettings, TenantSettings,
+};
 use serde_json::Value as Json;
+use std::collections::BTreeMap;
 
 const NANOSECONDS_PER_MICROSECOND: f64 = 1000.0;
 
@@ -18,85 +22,94 @@
 /// Paths that end with this hold a name chosen by the platform, which is kept as it is.
 const NAME_SUFFIX: &str = "name";
 
-/// The platform's path of each setting and the name that the balancer reads it by, sorted by path.
-const SETTING_NAMES: &[(&str, &str)] = &[
-    ("ceilings.cancelling", "limits.cancellation"),
-    ("ceilings.connectTimeoutNs", "limits.connect_timeout_us"),
-    ("ceilings.cpuUsPerRequest", "limits.cpu_us_per_query"),
-    ("ceilings.cpuUsPerS", "limits.cpu_us_per_s"),
-    ("ceilings.idleCloseNs", "limits.idle_timeout_us"),
-    ("ceilings.maxAttempts", "limits.max_attempts"),
-    ("ceilings.maxRetryAfterNs", "limits.max_retry_after_us"),
-    ("ceilings.maxStreams", "limits.max_requests_per_connection"),
-    ("ceilings.openCap", "limits.max_in_flight"),
-    ("ceilings.parallelTries", "limits.hedging"),
-    ("ceilings.peers", "limits.peers"),
-    ("ceilings.probes", "limits.health_checks"),
-    ("ceilings.retryAfter", "limits.retry_after"),
-    ("clients.marksRetry", "clients.mark_retries"),
-    ("countedBy", "priority_by"),
-    ("familyInfo.bundleMax", "batch.max_shard_requests"),
-    ("familyInfo.callNs", "batch.work_us"),
-    ("familyInfo.floorByClass.#", "class.#.completeness_minimum"),
-    ("familyInfo.incompleteWorth.#", "class.#.partial_value"),
-    ("familyInfo.needByClass.#", "class.#.completeness_required"),
-    ("familyInfo.secondStep.#", "class.#.second_step"),
-    ("familyInfo.sets", "shards.replica_sets"),
-    ("familyInfo.shards", "shards.count"),
-    ("familyInfo.warmKeys", "shards.warm_keys"),
-    ("familyInfo.width", "shards.replica_sets_per_shard"),
-    ("instances", "routers"),
-    ("kinds.#", "kind.#.name"),
-    ("layers.#", "layer.#.name"),
-    ("obligations.answerSlackNs", "rules.answer_slack_us"),
-    ("obligations.askWithinNs", "rules.poll_within_us"),
-    ("obligations.budgetShare", "rules.retry_share"),
-    ("obligations.coldFrom", "rules.cold_capacity_share"),
-    ("obligations.drainGraceNs", "rules.drain_grace_us"),
-    ("obligations.extraWindowNs", "rules.retry_window_us"),
-    ("obligations.freeResends", "rules.free_retries"),
-    ("obligations.tipAfterNs", "rules.cold_overload_window_us"),
-    ("obligations.tipMultiple", "rules.cold_overload_multiple"),
-    ("obligations.warmUpNs", "rules.warm_up_us"),
-    ("overShareWorth", "over_quota_priority_weight"),
-    ("prices.connection", "price.connection"),
-    ("prices.crossZone", "price.cross_zone"),
-    ("prices.fleet", "price.fleet"),
-    ("prices.handshake", "price.handshake"),
-    ("prices.lateFail", "price.late_failure"),
-    ("prices.moves", "price.moves"),
-    ("prices.origin", "price.origin"),
-    ("prices.peer", "price.peer"),
-    ("prices.probe", "price.health_check"),
-    ("prices.registryMode", "price.discovery"),
-    ("prices.waste", "price.waste"),
-    ("registryMode", "discovery.mode"),
-    ("report.columns.#", "load_report.#.name"),
-    ("report.how", "load_report.transport"),
-    ("scoringMix.whole", "weight.total"),
-    ("scoringMix.worstClass", "weight.worst_class"),
-    ("scoringMix.worstTenant", "weight.worst_tenant"),
-    ("scoringMix.worstWindow", "weight.worst_window"),
-    ("serviceType", "service_type"),
-    ("services.#.aimStretch", "class.#.latency_objective_stretch"),
-    ("services.#.deadlineNs", "class.#.deadline_us"),
-    ("services.#.dedupWindowNs", "class.#.idempotency_window_us"),
-    ("services.#.group", "class.#.idempotency_group"),
-    ("services.#.idempotency", "class.#.idempotency"),
-    ("services.#.lateShare", "class.#.late_value"),
-    ("services.#.name", "class.#.name"),
-    ("services.#.streamed", "class.#.streamed"),
-    ("services.#.targetNs", "class.#.latency_objective_us"),
-    ("services.#.worth", "class.#.priority_weight"),
-    ("slotNo", "router"),
-    ("tenants.#.fraction", "tenant.#.share"),
-    ("tenants.#.name", "tenant.#.name"),
-    ("tenants.#.quotaRps", "tenant.#.quota_per_s"),
-    ("tickNs", "decision_interval_us"),
-    ("tier", "tier"),
-    ("weights", "discovery.weights"),
-    ("zone", "zone"),
-    ("zones.#", "zone.#.name"),
+/// The lists whose entries belong to the service classes of the same index.
+const CLASS_LISTS: [&str; 5] = [
+    "services",
+    "familyInfo.floorByClass",
+    "familyInfo.incompleteWorth",
+    "familyInfo.needByClass",
+    "familyInfo.secondStep",
+];
+
+/// The paths of the known settings, sorted. Some are read by no code; a change of theirs is noticed all the same.
+const KNOWN_PATHS: &[&str] = &[
+    "ceilings.cancelling",
+    "ceilings.connectTimeoutNs",
+    "ceilings.cpuUsPerRequest",
+    "ceilings.cpuUsPerS",
+    "ceilings.idleCloseNs",
+    "ceilings.maxAttempts",
+    "ceilings.maxRetryAfterNs",
+    "ceilings.maxStreams",
+    "ceilings.openCap",
+    "ceilings.parallelTries",
+    "ceilings.peers",
+    "ceilings.probes",
+    "ceilings.retryAfter",
+    "clients.marksRetry",
+    "countedBy",
+    "familyInfo.bundleMax",
+    "familyInfo.callNs",
+    "familyInfo.floorByClass.#",
+    "familyInfo.incompleteWorth.#",
+    "familyInfo.needByClass.#",
+    "familyInfo.secondStep.#",
+    "familyInfo.sets",
+    "familyInfo.shards",
+    "familyInfo.warmKeys",
+    "familyInfo.width",
+    "instances",
+    "kinds.#",
+    "layers.#",
+    "obligations.answerSlackNs",
+    "obligations.askWithinNs",
+    "obligations.budgetShare",
+    "obligations.coldFrom",
+    "obligations.drainGraceNs",
+    "obligations.extraWindowNs",
+    "obligations.freeResends",
+    "obligations.tipAfterNs",
+    "obligations.tipMultiple",
+    "obligations.warmUpNs",
+    "overShareWorth",
+    "prices.connection",
+    "prices.crossZone",
+    "prices.fleet",
+    "prices.handshake",
+    "prices.lateFail",
+    "prices.moves",
+    "prices.origin",
+    "prices.peer",
+    "prices.probe",
+    "prices.registryMode",
+    "prices.waste",
+    "registryMode",
+    "report.columns.#",
+    "report.how",
+    "scoringMix.whole",
+    "scoringMix.worstClass",
+    "scoringMix.worstTenant",
+    "scoringMix.worstWindow",
+    "serviceType",
+    "services.#.aimStretch",
+    "services.#.deadlineNs",
+    "services.#.dedupWindowNs",
+    "services.#.group",
+    "services.#.idempotency",
+    "services.#.lateShare",
+    "services.#.name",
+    "services.#.streamed",
+    "services.#.targetNs",
+    "services.#.worth",
+    "slotNo",
+    "tenants.#.fraction",
+    "tenants.#.name",
+    "tenants.#.quotaRps",
+    "tickNs",
+    "tier",
+    "weights",
+    "zone",
+    "zones.#",
 ];
 
 /// Why the platform's settings cannot be read.
@@ -107,20 +120,199 @@
     NotAnObject,
 }
 
-/// Translates the platform's settings; times become whole microseconds. Unknown settings are ignored.
+/// Translates the platform's settings; times become whole microseconds. Unknown settings are ignored, and a
+/// value of another type than expected counts as absent.
+///
+/// # Errors
+///
+/// [`SettingsError::NotAnObject`] if `json` is no object.
 pub fn parse_settings(json: &Json) -> Result<Settings, SettingsError> {
-    if !json.is_object() {
-        return Err(SettingsError::NotAnObject);
+    Ok(StatedSettings::parse(json)?.to_settings())
+}
+
+/// The value of one setting; times are whole microseconds in `Number`.
+#[derive(Clone, Debug, PartialEq)]
+enum Value {
+    Number(f64),
+    Flag(bool),
+    Text(String),
+}
+
+/// The known settings as the platform states them, by path with indices, also those that no code reads.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct StatedSettings(BTreeMap<String, Value>);
+
+impl StatedSettings {
+    /// Reads the known settings.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::NotAnObject`] if `json` is no object.
+    pub fn parse(json: &Json) -> Result<StatedSettings, SettingsError> {
+        if !json.is_object() {
+            return Err(SettingsError::NotAnObject);
+        }
+        let mut reader = SettingsReader::default();
+        reader.read(json, "");
+        Ok(reader.settings)
+    }
+
+    /// The settings that are read, as typed values.
+    pub fn to_settings(&self) -> Settings {
+        Settings {
+            zones: self.zones(),
+            zone: self.count("zone").unwrap_or(0),
+            routers: self.number("instances").unwrap_or(1.0).max(1.0),
+            decision_interval: self.micros("tickNs").unwrap_or(0),
+            priority_by_work: self.text("countedBy") == "work",
+            classes: self.classes(),
+            tenants: self.tenants(),
+            shards: self.shards(),
+            batch: self.batch(),
+            limits: self.limits(),
+            rules: self.rules(),
+            discovery_mode: match self.text("registryMode") {
+                "polled" => DiscoveryMode::Polled,
+                _ => DiscoveryMode::Pushed,
+            },
+            load_by_health_checks: self.text("report.how") == "health_checks",
+        }
+    }
+
+    /// The names of the zones before the first without a name.
+    fn zones(&self) -> Vec<String> {
+        let name = |index: usize| self.text(&format!("zones.{index}")).to_string();
+        (0..).map(name).take_while(|name| !name.is_empty()).collect()
+    }
+
+    fn classes(&self) -> Vec<ClassSettings> {
+        let count = CLASS_LISTS.iter().map(|list| self.list_length(list)).max().unwrap_or(0);
+        (0..count).map(|index| self.class(index)).collect()
+    }
+
+    fn class(&self, index: usize) -> ClassSettings {
+        let absent = ClassSettings::default();
+        let service = |key: &str| format!("services.{index}.{key}");
+        let by_class = |list: &str| self.number(&format!("familyInfo.{list}.{index}"));
+        ClassSettings {
+            name: self.text(&service("name")).to_string(),
+            idempotency: match self.text(&service("idempotency")) {
+                "idempotent" => Idempotency::Idempotent,
+                "idempotency_key" => Idempotency::Keyed,
+                _ => Idempotency::NonIdempotent,
+            },
+            idempotency_window: self.micros(&service("dedupWindowNs")).unwrap_or(absent.idempotency_window),
+            latency_objective: self.micros(&service("targetNs")),
+            latency_objective_stretch: self
+                .number(&service("aimStretch"))
+                .unwrap_or(absent.latency_objective_stretch),
+            deadline: self.micros(&service("deadlineNs")).unwrap_or(absent.deadline),
+            late_value: self.number(&service("lateShare")).unwrap_or(absent.late_value),
+            partial_value: by_class("incompleteWorth").unwrap_or(absent.partial_value),
+            completeness_required: by_class("needByClass").unwrap_or(absent.completeness_required),
+            completeness_minimum: by_class("floorByClass").unwrap_or(absent.completeness_minimum),
+            priority_weight: self.number(&service("worth")).unwrap_or(absent.priority_weight),
+            second_step: by_class("secondStep").is_some_and(|steps| steps >= 1.0),
+        }
+    }
+
+    fn tenants(&self) -> Vec<TenantSettings> {
+        let tenant = |index: usize| TenantSettings {
+            name: self.text(&format!("tenants.{index}.name")).to_string(),
+            quota_per_second: self.number(&format!("tenants.{index}.quotaRps")),
+        };
+        (0..self.list_length("tenants")).map(tenant).collect()
+    }
+
+    fn shards(&self) -> ShardSettings {
+        ShardSettings {
+            count: self.count("familyInfo.shards"),
+            replica_sets: self.count("familyInfo.sets"),
+            replica_sets_per_shard: self.count("familyInfo.width"),
+        }
+    }
+
+    fn batch(&self) -> BatchSettings {
+        BatchSettings {
+            max_shard_requests: self.count("familyInfo.bundleMax"),
+            work: self.micros("familyInfo.callNs").unwrap_or(0),
+        }
+    }
+
+    fn limits(&self) -> LimitSettings {
+        LimitSettings {
+            max_attempts: self.count("ceilings.maxAttempts"),
+            hedging: self.flag("ceilings.parallelTries"),
+            cancellation: self.flag("ceilings.cancelling"),
+            retry_after: self.flag("ceilings.retryAfter"),
+            max_retry_after: self.micros("ceilings.maxRetryAfterNs").unwrap_or(0),
+            connect_timeout: self.micros("ceilings.connectTimeoutNs"),
+            idle_timeout: self.micros("ceilings.idleCloseNs").unwrap_or(0),
+            max_requests_per_connection: self.count("ceilings.maxStreams").unwrap_or(0),
+            max_in_flight: self.count("ceilings.openCap"),
+        }
+    }
+
+    fn rules(&self) -> RuleSettings {
+        let absent = RuleSettings::default();
+        let number = |path, absent| self.number(path).unwrap_or(absent);
+        let micros = |path| self.micros(path).unwrap_or(0);
+        RuleSettings {
+            poll_within: micros("obligations.askWithinNs"),
+            drain_grace: micros("obligations.drainGraceNs"),
+            retry_window: micros("obligations.extraWindowNs"),
+            retry_share: self.number("obligations.budgetShare"),
+            free_retries: number("obligations.freeResends", absent.free_retries),
+            cold_overload_window: micros("obligations.tipAfterNs"),
+            cold_overload_multiple: number("obligations.tipMultiple", absent.cold_overload_multiple),
+            cold_capacity_share: number("obligations.coldFrom", absent.cold_capacity_share),
+            warm_up: micros("obligations.warmUpNs"),
+        }
+    }
+
+    /// How many entries of a list are stated, counted up to the last with a known setting.
+    fn list_length(&self, list: &str) -> usize {
+        let index = |path: &String| {
+            let rest = path.strip_prefix(list)?.strip_prefix('.')?;
+            rest.split('.').next()?.parse::<usize>().ok()
+        };
+        self.0.keys().filter_map(index).map(|index| index + 1).max().unwrap_or(0)
+    }
+
+    fn number(&self, path: &str) -> Option<f64> {
+        match self.0.get(path) {
+            Some(Value::Number(number)) => Some(*number),
+            _ => None,
+        }
+    }
+
+    /// A whole number; a negative one counts as 0.
+    fn count(&self, path: &str) -> Option<usize> {
+        self.number(path).map(|number| number as usize)
+    }
+
+    fn micros(&self, path: &str) -> Option<Micros> {
+        self.number(path).map(|number| number as Micros)
+    }
+
+    /// Whether a flag is set; it is off if absent.
+    fn flag(&self, path: &str) -> bool {
+        self.0.get(path) == Some(&Value::Flag(true))
+    }
+
+    /// A text, empty if absent.
+    fn text(&self, path: &str) -> &str {
+        match self.0.get(path) {
+            Some(Value::Text(text)) => text,
+            _ => "",
+        }
     }
-    let mut reader = SettingsReader::default();
-    reader.read(json, "");
-    Ok(reader.settings)
 }
 
 /// Walks the platform's settings and collects those that are known.
 #[derive(Default)]
 struct SettingsReader {
-    settings: Settings,
+    settings: StatedSettings,
     /// The indices of the arrays that enclose the current value, outermost first.
     indices: Vec<usize>,
 }
@@ -149,12 +341,14 @@
     }
 
     fn set(&mut self, path: &str, value: Value) {
-        let Ok(position) = SETTING_NAMES.binary_search_by(|(known, _)| (*known).cmp(path)) else { return };
-        let mut name = SETTING_NAMES[position].1.to_string();
+        if KNOWN_PATHS.binary_search(&path).is_err() {
+            return;
+        }
+        let mut path = path.to_string();
         for index in &self.indices {
-            name = name.replacen('#', &index.to_string(), 1);
+            path = path.replacen('#', &index.to_string(), 1);
         }
-        self.settings.set(&name, value);
+        self.settings.0.insert(path, value);
     }
 }
 
--- a/crates/settings-schema/src/settings/tests.rs
+++ b/crates/settings-schema/src/settings/tests.rs
@@ -1,36 +1,133 @@
 use super::*;
 use serde_json::json;
 
+fn parse(json: Json) -> Settings {
+    parse_settings(&json).expect("an object")
+}
+
 #[test]
 fn settings_come_under_our_names_in_microseconds() {
-    let json = r#"{"tickNs": 5000000, "new": 1, "registryMode": "ask",
-        "services": [{"idempotency": "read_like", "targetNs": 1500}], "ceilings": {"probes": true}}"#;
-    let settings = parse_settings(&serde_json::from_str(json).expect("JSON")).expect("an object");
-    assert_eq!(settings.number("decision_interval_us"), Some(5000.0));
-    assert_eq!(settings.number("class.0.latency_objective_us"), Some(1.0));
+    let json = json!({"tickNs": 5000000, "new": 1, "registryMode": "ask",
+        "services": [{"idempotency": "read_like", "targetNs": 1500}], "ceilings": {"probes": true}});
+    let stated = StatedSettings::parse(&json).expect("an object");
+    let settings = stated.to_settings();
+    assert_eq!(settings.decision_interval, 5000);
+    assert_eq!(settings.classes[0].latency_objective, Some(1));
     assert_eq!(
-        (settings.text("class.0.idempotency"), settings.text("discovery.mode")),
-        ("idempotent", "polled")
+        (settings.classes[0].idempotency, settings.discovery_mode),
+        (Idempotency::Idempotent, DiscoveryMode::Polled)
     );
-    assert!(settings.flag("limits.health_checks") && settings.0.len() == 5);
+    assert!(stated.flag("ceilings.probes") && stated.0.len() == 5);
     assert!(parse_settings(&Json::Array(Vec::new())).is_err());
 }
 
 #[test]
 fn the_table_is_sorted_for_its_search() {
-    assert!(SETTING_NAMES.is_sorted_by(|a, b| a.0 < b.0));
+    assert!(KNOWN_PATHS.is_sorted_by(|a, b| a < b));
 }
 
 #[test]
 fn each_array_index_fills_its_place_in_the_name() {
-    let settings = parse_settings(&json!({"zones": ["a", "b"]})).expect("an object");
-    assert_eq!((settings.text("zone.0.name"), settings.text("zone.1.name")), ("a", "b"));
+    assert_eq!(parse(json!({"zones": ["a", "b"]})).zones, ["a", "b"]);
+    let stated = StatedSettings::parse(&json!({"kinds": ["a", "b"]})).expect("an object");
+    assert_eq!((stated.text("kinds.0"), stated.text("kinds.1")), ("a", "b"));
 }
 
 #[test]
 fn a_name_that_equals_a_term_of_the_platform_is_kept() {
-    let settings = parse_settings(&json!({"tenants": [{"name": "queue"}]})).expect("an object");
-    assert_eq!(settings.text("tenant.0.name"), "queue");
+    let settings = parse(json!({"tenants": [{"name": "queue"}]}));
+    assert_eq!(settings.tenants[0].name, "queue");
+}
+
+#[test]
+fn an_empty_object_states_the_defaults() {
+    assert_eq!(parse(json!({})), Settings::default());
+}
+
+#[test]
+fn a_value_of_another_type_counts_as_absent() {
+    let settings = parse(json!({
+        "instances": "3", "zone": true, "tickNs": "5000000", "registryMode": 1, "countedBy": false,
+        "report": {"how": 1},
+        "familyInfo": {"sets": "2", "shards": null, "width": true, "bundleMax": [4], "callNs": {"a": 1}},
+        "ceilings": {"maxAttempts": "3", "parallelTries": 1, "cancelling": "true", "retryAfter": null,
+            "connectTimeoutNs": "1", "idleCloseNs": false, "maxStreams": "8", "openCap": "9"},
+        "obligations": {"budgetShare": "0.1", "coldFrom": true, "tipMultiple": "2", "warmUpNs": "1"}}));
+    assert_eq!(settings, Settings::default());
+}
+
+#[test]
+fn a_class_value_of_another_type_counts_as_absent() {
+    let settings = parse(json!({
+        "services": [{"name": "look", "idempotency": 1, "deadlineNs": "1", "targetNs": true, "worth": "2"}],
+        "familyInfo": {"floorByClass": ["0.5"], "needByClass": [null], "secondStep": [true]}}));
+    assert_eq!(settings.classes, [ClassSettings { name: "look".to_string(), ..Default::default() }]);
+}
+
+#[test]
+fn lists_by_class_are_merged_with_the_services() {
+    let settings = parse(json!({
+        "services": [{"name": "look", "worth": 2}, {"name": "scan", "lateShare": 0.25}],
+        "familyInfo": {"floorByClass": [0.5, 0.6, 0.7], "incompleteWorth": [0.8], "needByClass": [0.9],
+            "secondStep": [0, 1]}}));
+    let [look, scan, unnamed] = &settings.classes[..] else { panic!("three classes") };
+    let of = |class: &ClassSettings| {
+        [class.completeness_minimum, class.partial_value, class.completeness_required, class.priority_weight]
+    };
+    assert_eq!(of(look), [0.5, 0.8, 0.9, 2.0]);
+    assert_eq!(of(scan), [0.6, 0.0, 1.0, 1.0]);
+    assert_eq!(of(unnamed), [0.7, 0.0, 1.0, 1.0]);
+    assert_eq!((look.second_step, scan.second_step, scan.late_value), (false, true, 0.25));
+}
+
+#[test]
+fn named_classes_tenants_and_zones_end_at_the_first_without_a_name() {
+    let settings = parse(json!({
+        "services": [{"name": "look"}, {"deadlineNs": 1e9}, {"name": "scan"}],
+        "tenants": [{"name": "a", "quotaRps": 3}, {"name": 7, "quotaRps": 4}, {"name": "c"}],
+        "zones": ["x", "", "y"]}));
+    assert_eq!(settings.named_classes().map(|class| &class.name[..]).collect::<Vec<_>>(), ["look"]);
+    assert_eq!(settings.named_tenants().map(|tenant| &tenant.name[..]).collect::<Vec<_>>(), ["a"]);
+    assert_eq!(settings.zones, ["x"]);
+    // Those after it are kept by index: classes and tenants also arrive as numbers.
+    assert_eq!((settings.classes[1].deadline, settings.tenants[1].quota_per_second), (1_000_000, Some(4.0)));
+}
+
+#[test]
+fn times_are_rounded_down_to_microseconds() {
+    for (nanoseconds, microseconds) in [(999, 0), (1000, 1), (1999, 1), (-1, -1)] {
+        let settings = parse(json!({"obligations": {"drainGraceNs": nanoseconds}}));
+        assert_eq!(settings.rules.drain_grace, microseconds, "{nanoseconds}");
+    }
+}
+
+#[test]
+fn a_class_without_latency_objective_takes_its_deadline() {
+    let settings = parse(json!({"services": [{"deadlineNs": 2000}, {"deadlineNs": 2000, "targetNs": 0}]}));
+    let objectives = settings.classes.iter().map(ClassSettings::latency_objective_or_deadline);
+    assert_eq!(objectives.collect::<Vec<_>>(), [2, 0]);
+}
+
+#[test]
+fn every_kind_of_idempotency_is_known_and_others_count_as_the_strictest() {
+    for (stated, idempotency) in [
+        ("read_like", Idempotency::Idempotent),
+        ("idempotent", Idempotency::Idempotent),
+        ("idempotency_key", Idempotency::Keyed),
+        ("non_idempotent", Idempotency::NonIdempotent),
+        ("other", Idempotency::NonIdempotent),
+    ] {
+        let settings = parse(json!({"services": [{"idempotency": stated}]}));
+        assert_eq!(settings.classes[0].idempotency, idempotency, "{stated}");
+    }
+}
+
+#[test]
+fn a_changed_setting_that_no_code_reads_is_noticed_and_an_unknown_one_is_not() {
+    let stated = |json: Json| StatedSettings::parse(&json).expect("an object");
+    assert_ne!(stated(json!({"prices": {"moves": 1}})), stated(json!({"prices": {"moves": 2}})));
+    assert_ne!(stated(json!({"serviceType": "a"})), stated(json!({})));
+    assert_eq!(stated(json!({"unknown": 1, "tier": null})), stated(json!({"unknown": 2})));
 }
 
 #[test]
