--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -196,7 +196,7 @@
     pub routers: f64,
     /// How often the balancer decides, in microseconds.
     pub decision_interval: Micros,
-    /// Whether the priority weight counts by work instead of by query.
+    /// Whether the priority weight counts by work instead of by shard request.
     pub priority_by_work: bool,
     /// The service classes, by index.
     pub classes: Vec<ClassSettings>,
--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -34,7 +34,7 @@
     pub cached_endpoints: Json,
     /// The settings of the deployment.
     pub settings: Settings,
-    /// The same as the file states them, with those that no code reads.
+    /// The same as the file states them, with those that no code reads: a change of any needs a restart.
     pub stated_settings: StatedSettings,
 }
 
