--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -89,7 +89,7 @@
             EndpointUpdate::Cached => {}
             EndpointUpdate::Full | EndpointUpdate::Incremental => {
                 if self.discovery.update_arrived() {
-                    actions.log("registry back");
+                    actions.log("discovery reachable again");
                 }
             }
         }
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -137,8 +137,8 @@
         let crashes = self.admission.crashes.count(now - CRASH_MEMORY);
         let canaries = crashes >= CANARY_CRASHES;
         if std::mem::replace(&mut self.admission.canaries, canaries) != canaries {
-            let first = if canaries { "ahead" } else { "together" };
-            actions.log(&format!("{crashes} or more nodes fell of late, first calls go {first}"));
+            let mode = if canaries { "enabled" } else { "disabled" };
+            actions.log(&format!("{crashes} or more nodes crashed recently, canary attempts {mode}"));
         }
     }
 
--- a/crates/balancer/src/policy/discovery.rs
+++ b/crates/balancer/src/policy/discovery.rs
@@ -18,7 +18,7 @@
         let delay = 500_000 << discovery.failures;
         discovery.next_request_at = now + delay / 2 + self.random.i64(0..delay);
         let milliseconds = (discovery.next_request_at - now) / 1000;
-        actions.log(&format!("registry out of reach, asked again in {milliseconds} ms"));
+        actions.log(&format!("discovery unreachable, next request in {milliseconds} ms"));
     }
 
     /// Requests the endpoint list where it must be polled, and keeps a timer while a query is open.
