--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -25,7 +25,7 @@
 
     /// Counts a query of a tenant; returns whether it exceeds this router's share of the quota.
     fn exceeds_quota(&mut self, now: Micros, tenant: usize) -> bool {
-        let usage = self.admission.count_query(now, tenant, &self.settings, &RETAINED);
+        let usage = self.admission.count_query(now, tenant, &self.settings.tenants, &RETAINED);
         let share = usage.quota_per_second / self.site.routers;
         usage.arrivals.sum(now - RECENT / 3) > share * (RECENT / 3) as f64 / 1e6
     }
@@ -137,8 +137,8 @@
         let crashes = self.admission.crashes.count(now - CRASH_MEMORY);
         let canaries = crashes >= CANARY_CRASHES;
         if std::mem::replace(&mut self.admission.canaries, canaries) != canaries {
-            let first = if canaries { "ahead" } else { "together" };
-            actions.log(&format!("{crashes} or more nodes fell of late, first calls go {first}"));
+            let mode = if canaries { "enabled" } else { "disabled" };
+            actions.log(&format!("{crashes} or more nodes crashed recently, canary attempts {mode}"));
         }
     }
 
--- a/crates/query-router/src/router/discovery/backoff.rs
+++ b/crates/query-router/src/router/discovery/backoff.rs
@@ -23,7 +23,7 @@
     pub fn new(config: &Config) -> WatchBackoff {
         // Where lists are pushed, the platform counts every change as known to the router at once, with or without a
         // watch.
-        let first_delay = match config.micros("rules.drain_grace_us") / 4 {
+        let first_delay = match config.settings.rules.drain_grace / 4 {
             0 => HEARTBEAT_INTERVAL,
             delay => delay.min(HEARTBEAT_INTERVAL),
         };
