--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -2,8 +2,8 @@
 
 use crate::policy::{MAX_CONCURRENCY_LIMIT, RETAINED};
 use crate::state::{
-    AdmissionState, DiscoveryState, FleetStatistics, NodeState, NodeTable, QueryTable, ServiceClass,
-    ShardMap, ShardRequest, SiteSettings, SlidingWindow,
+    AdmissionState, DeploymentSettings, DiscoveryState, FleetStatistics, NodeState, NodeTable, QueryTable,
+    ServiceClass, ShardMap, ShardRequest, SlidingWindow,
 };
 use crate::{
     Actions, AttemptEnd, ClassSettings, Endpoint, EndpointUpdate, Events, LoadReport, Micros, NodeId,
@@ -15,7 +15,7 @@
 pub struct Balancer {
     /// The settings as they were passed, from which service classes and tenants are read when first seen.
     pub(crate) settings: Settings,
-    pub(crate) site: SiteSettings,
+    pub(crate) deployment: DeploymentSettings,
     pub(crate) classes: Vec<ServiceClass>,
     /// Draws the tie-breaks of nodes and the jitter of requests for the endpoint list.
     pub(crate) random: fastrand::Rng,
@@ -38,7 +38,7 @@
     pub fn new(seed: u64, settings: Settings) -> Self {
         Balancer {
             shards: ShardMap::new(&settings.shards),
-            site: SiteSettings::new(&settings),
+            deployment: DeploymentSettings::new(&settings),
             settings,
             random: fastrand::Rng::with_seed(seed),
             statistics: FleetStatistics::new(&RETAINED),
@@ -75,9 +75,9 @@
         self.nodes.ensure(endpoint.node, || Self::new_node(random.f64()));
         self.admission.reservations.resize(self.nodes.len(), 0);
         let node = &mut self.nodes[endpoint.node];
-        node.apply(endpoint, self.discovery.update_number);
+        node.apply_update(endpoint, self.discovery.update_number);
         if endpoint.started_at > node.started_at {
-            node.restart(endpoint.started_at);
+            node.record_restart(endpoint.started_at);
             self.observe_restart(now, endpoint.started_at);
         }
     }
@@ -88,7 +88,7 @@
             EndpointUpdate::Failed => self.delay_next_request(now, actions),
             EndpointUpdate::Cached => {}
             EndpointUpdate::Full | EndpointUpdate::Incremental => {
-                if self.discovery.update_arrived() {
+                if self.discovery.record_update() {
                     actions.log("discovery reachable again");
                 }
             }
@@ -112,14 +112,14 @@
 
     fn attempt_ended(&mut self, now: Micros, end: &AttemptEnd) {
         let id = end.attempt.shard_request;
-        let Some(attempt) = self.nodes[end.node].take(id, end.attempt.number) else { return };
+        let Some(attempt) = self.nodes[end.node].remove_in_flight(id, end.attempt.number) else { return };
         self.observe_attempt(now, &attempt, end);
         self.queries.attempt_ended(id, end.node, end.outcome);
     }
 
     fn load_reported(&mut self, now: Micros, node: NodeId, report: &LoadReport) {
         self.ensure_classes(self.settings.named_classes().count());
-        self.nodes[node].load_reported(now, report.in_flight);
+        self.nodes[node].record_load_report(now, report.in_flight);
         self.observe_report(now, node, report);
     }
 
--- a/crates/balancer/src/dispatch.rs
+++ b/crates/balancer/src/dispatch.rs
@@ -8,19 +8,19 @@
     pub(crate) fn send(&mut self, now: Micros, assignment: Assignment, work: f64, actions: &mut dyn Actions) {
         let Assignment { shard_request, node: id } = assignment;
         let node = &mut self.nodes[id];
-        node.last_used = self.statistics.batches;
+        node.last_batch_number = self.statistics.batches_sent;
         node.work_sent.push(now, work);
         self.statistics.work_sent.push(now, work);
-        let idle_before = now - node.last_heard_at.min(now);
-        let number = self.queries[shard_request].attempt_sent(now, id, idle_before);
-        node.in_flight.push(InFlightAttempt { shard_request, number, sent_at: now, idle_before });
-        node.filled = node.in_flight.len() >= node.concurrency_limit as usize;
+        let idle_time = now - node.last_activity_at.min(now);
+        let number = self.queries[shard_request].attempt_sent(now, id, idle_time);
+        node.in_flight.push(InFlightAttempt { shard_request, number, sent_at: now, idle_time });
+        node.reached_limit = node.in_flight.len() >= node.concurrency_limit as usize;
         actions.send_attempt(shard_request, id, None);
     }
 
     /// Cancels the attempts at a shard request that are in flight, where that is possible.
     pub(crate) fn cancel_attempts(&self, id: ShardRequestId, actions: &mut dyn Actions) {
-        if self.site.cancellation {
+        if self.deployment.cancellation {
             for attempt in self.queries.attempts_in_flight(id, &self.nodes) {
                 actions.cancel_attempt(attempt);
             }
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -15,9 +15,9 @@
     fn latency_objective_of(&mut self, now: Micros, arrival: &QueryArrival) -> Micros {
         let class = &mut self.classes[arrival.class];
         let left = (arrival.deadline - now) as f64;
-        let common = class.time_allowed.quantile(0.5, now - RECENT).unwrap_or(left);
-        class.time_allowed.push(now, left);
-        let is_uncommon = (left - common).abs() > 4.0 * self.site.decision_interval as f64;
+        let common = class.query_timeouts.quantile(0.5, now - RECENT).unwrap_or(left);
+        class.query_timeouts.push(now, left);
+        let is_uncommon = (left - common).abs() > 4.0 * self.deployment.decision_interval as f64;
         let passed = if is_uncommon { (class.deadline as f64 - left).max(0.0) } else { 0.0 };
         let stretch = class.latency_objective_stretch * arrival.work as f64;
         now + (class.latency_objective as f64 + stretch - passed) as Micros
@@ -26,7 +26,7 @@
     /// Counts a query of a tenant; returns whether it exceeds this router's share of the quota.
     fn exceeds_quota(&mut self, now: Micros, tenant: usize) -> bool {
         let usage = self.admission.count_query(now, tenant, &self.settings.tenants, &RETAINED);
-        let share = usage.quota_per_second / self.site.routers;
+        let share = usage.quota_per_second / self.deployment.routers;
         usage.arrivals.sum(now - RECENT / 3) > share * (RECENT / 3) as f64 / 1e6
     }
 
@@ -39,8 +39,8 @@
                 return None;
             }
             let class = &self.classes[query.class];
-            let is_late = now + class.usual_duration > query.latency_objective;
-            let shares = if self.site.priority_by_work { 1 } else { query.shard_requests.len().max(1) };
+            let is_late = now + class.expected_duration > query.latency_objective;
+            let shares = if self.deployment.priority_by_work { 1 } else { query.shard_requests.len().max(1) };
             let value = 1e3 * class.priority_weight / shares as f64;
             Some((query.queue_rank + is_late as u8, Reverse(value as i64)))
         });
@@ -51,11 +51,12 @@
     pub(super) fn admit(&mut self, now: Micros, id: QueryId, actions: &mut dyn Actions) -> Step {
         let query = &self.queries[id];
         let (is_new, size) = (query.admitted_at.is_none(), query.shard_requests.len());
-        let is_known_poison = || self.admission.is_poison(self.queries.fingerprint(id), now - CRASH_MEMORY);
+        let is_known_poison =
+            || self.admission.is_poison_query(self.queries.fingerprint(id), now - CRASH_MEMORY);
         if is_new && query.is_retry && is_known_poison() {
             return self.fail_fast(id);
         }
-        if is_new && size > self.site.max_batch && now < self.admission.paced_until {
+        if is_new && size > self.deployment.max_batch && now < self.admission.paced_until {
             return Step::Wait;
         }
         self.abandon_surplus(now, id);
@@ -67,11 +68,11 @@
                 return Step::Wait;
             }
             // Deviation: while nodes crash, the first batch goes ahead of the rest; see `wait_for_canary`.
-            if self.admission.canaries {
+            if self.admission.canary_mode {
                 plan.retain_first_node();
             }
             self.admission.paced_until = now + self.pacing_delay(now, size);
-            self.queries[id].admit(now, self.admission.canaries);
+            self.queries[id].admit(now, self.admission.canary_mode);
         }
         for assignment in plan.assignments {
             self.attempt(now, assignment, actions);
@@ -105,10 +106,10 @@
         }
         let shard_requests = query.current_step().to_vec();
         let kept = (minimum + required) / 2.0;
-        let mut possible = self.queries.progress(&shard_requests).possible;
+        let mut possible = self.queries.progress(&shard_requests).possible_weight;
         for id in shard_requests {
             let request = &self.queries[id];
-            let is_rejecting = |&node: &NodeId| self.nodes[node].is_rejecting_since(now - RECENT);
+            let is_rejecting = |&node: &NodeId| self.nodes[node].has_rejected_since(now - RECENT);
             let is_partial = possible + WEIGHT_ROUNDING < required;
             let was_rejected = || is_partial && request.attempts.last().is_some_and(is_rejecting);
             let all_reject = || self.shards.replicas(request.shard).iter().all(is_rejecting);
@@ -136,7 +137,7 @@
     pub(super) fn update_canary_mode(&mut self, now: Micros, actions: &mut dyn Actions) {
         let crashes = self.admission.crashes.count(now - CRASH_MEMORY);
         let canaries = crashes >= CANARY_CRASHES;
-        if std::mem::replace(&mut self.admission.canaries, canaries) != canaries {
+        if std::mem::replace(&mut self.admission.canary_mode, canaries) != canaries {
             let mode = if canaries { "enabled" } else { "disabled" };
             actions.log(&format!("{crashes} or more nodes crashed recently, canary attempts {mode}"));
         }
@@ -146,7 +147,7 @@
     /// attempts wait; it ends once several nodes crashed under it and nothing is in flight.
     pub(super) fn wait_for_canary(&mut self, now: Micros, id: QueryId, _actions: &mut dyn Actions) -> Step {
         let query = &self.queries[id];
-        if query.answered || !query.has_canary && query.crashed_nodes.is_empty() {
+        if query.has_answer || !query.has_canary && query.crashed_nodes.is_empty() {
             return Step::Continue;
         }
         let in_flight = self.queries.in_flight(id);
@@ -159,7 +160,7 @@
             return Step::Continue;
         }
         let fingerprint = self.queries.fingerprint(id);
-        self.admission.remember_poison(now, fingerprint, now - CRASH_MEMORY);
+        self.admission.record_poison_query(now, fingerprint, now - CRASH_MEMORY);
         self.fail_fast(id)
     }
 }
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -5,7 +5,7 @@
 impl Balancer {
     /// Answers are given this long before a deadline, since the front end acts once in a decision interval.
     pub(super) fn answer_margin(&self) -> Micros {
-        2 * self.site.decision_interval + 2_000
+        2 * self.deployment.decision_interval + 2_000
     }
 
     /// Ends a query once enough shards have answered, or once that has become impossible.
@@ -20,13 +20,13 @@
         }
         let (is_second_step, Completeness { required, minimum }) = (query.step_start > 0, self.needs(query));
         let progress = self.queries.progress(shard_requests);
-        let is_enough = progress.all_answered || (required < 1.0 && progress.answered >= required);
+        let is_enough = progress.all_answered || (required < 1.0 && progress.answered_weight >= required);
         let is_final = is_enough || !progress.any_pending;
         let is_due = is_final || now >= self.partial_answer_at(query, &progress, required);
-        let is_impossible = progress.possible + WEIGHT_ROUNDING < minimum;
+        let is_impossible = progress.possible_weight + WEIGHT_ROUNDING < minimum;
         let completion = if is_enough && (!is_second_step || query.first_step_complete) {
             Completion::Complete
-        } else if progress.answered >= minimum && is_due {
+        } else if progress.answered_weight >= minimum && is_due {
             Completion::Partial
         } else if is_impossible && progress.any_abandoned {
             return self.fail_fast(id);
@@ -55,7 +55,7 @@
     /// Deviation: a partial answer at the latency objective may be worth more than a complete one later.
     fn partial_answer_at(&self, query: &Query, progress: &Progress, required: f64) -> Micros {
         let class = &self.classes[query.class];
-        let is_worth_more = class.partial_value * progress.answered / required > class.late_value;
+        let is_worth_more = class.partial_value * progress.answered_weight / required > class.late_value;
         let latest = if is_worth_more { query.latency_objective.min(query.deadline) } else { query.deadline };
         latest - self.answer_margin()
     }
@@ -64,10 +64,10 @@
     pub(super) fn fail_fast(&self, id: QueryId) -> Step {
         let query = &self.queries[id];
         let is_idempotent = self.classes[query.class].idempotency == Idempotency::Idempotent;
-        if !is_idempotent && self.queries.may_have_run(id) {
+        if !is_idempotent && self.queries.may_have_executed(id) {
             return Step::Finish(Completion::Failed);
         }
-        let retry_after = self.site.retry_after.filter(|_| query.admitted_at.is_none());
+        let retry_after = self.deployment.max_retry_after.filter(|_| query.admitted_at.is_none());
         Step::Finish(Completion::Rejected { retry_after })
     }
 
@@ -78,7 +78,7 @@
         let pays_late = class.late_value > 0.0;
         let end = if pays_late { query.deadline } else { query.latency_objective };
         let is_over = match query.admitted_at {
-            None => now + class.usual_duration > end - self.answer_margin(),
+            None => now + class.expected_duration > end - self.answer_margin(),
             Some(_) => !pays_late && now >= query.latency_objective,
         };
         let is_too_late = is_over || now >= query.deadline - self.answer_margin();
--- a/crates/balancer/src/policy/discovery.rs
+++ b/crates/balancer/src/policy/discovery.rs
@@ -26,12 +26,12 @@
     pub(super) fn schedule(&mut self, now: Micros, actions: &mut dyn Actions) {
         let has_open_queries = !self.queries.open().is_empty();
         let discovery = &mut self.discovery;
-        let poll_interval = self.site.poll_interval.filter(|_| !discovery.watching);
+        let poll_interval = self.deployment.poll_interval.filter(|_| !discovery.watching);
         if let Some(interval) = poll_interval.filter(|_| now >= discovery.next_request_at) {
             actions.watch_endpoints(true);
             discovery.next_request_at = now + interval.max(1_000_000);
         }
-        let next = now + self.site.decision_interval.max(1_000);
+        let next = now + self.deployment.decision_interval.max(1_000);
         let at = if has_open_queries { next } else { discovery.next_request_at.max(next) };
         let is_needed = poll_interval.is_some() || has_open_queries;
         if is_needed && discovery.timer_at.is_none_or(|set| set > at || set <= now) {
--- a/crates/balancer/src/policy/health.rs
+++ b/crates/balancer/src/policy/health.rs
@@ -11,11 +11,11 @@
         let is_lost =
             outcome == AttemptOutcome::ConnectionLost || outcome == AttemptOutcome::Cancelled && is_late;
         let shows_idle = matches!(outcome, AttemptOutcome::ConnectionLost | AttemptOutcome::Succeeded);
-        if shows_idle && self.queries[attempt.shard_request].idle_before.is_some() {
-            self.observe_idle(now, is_lost, attempt.idle_before);
+        if shows_idle && self.queries[attempt.shard_request].idle_time.is_some() {
+            self.observe_idle(now, is_lost, attempt.idle_time);
         }
         self.count_rejection(now, attempt.shard_request, outcome);
-        if !is_lost || attempt.idle_before < self.statistics.max_idle {
+        if !is_lost || attempt.idle_time < self.statistics.max_idle_time {
             let observation = Observation { node, class, outcome, latency };
             self.learn(now, observation);
             self.adjust_concurrency_limit(now, observation);
@@ -66,7 +66,7 @@
         let is_silent = matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
         let is_late = latency > late_after;
         // Guards against connections that come up late: a node that answered in the meantime has not crashed.
-        let is_alive = (now - latency + 1..=now).contains(&node.last_heard_at);
+        let is_alive = (now - latency + 1..=now).contains(&node.last_activity_at);
         if !outcome.proves_not_executed() && (!is_silent || is_late) {
             node.failures.push(now, (outcome != AttemptOutcome::Succeeded) as u8 as f64);
         }
@@ -77,16 +77,16 @@
             AttemptOutcome::MalformedResponse | AttemptOutcome::ConnectionLost => node.suspect_since = now,
             AttemptOutcome::ConnectFailed if !is_alive => {
                 // Guards against a late endpoint list: an unreachable node warms up until it answers in time.
-                node.last_outage_at = now;
+                node.last_connect_failure_at = now;
                 node.latencies.push(now, latency.max(late_after) as f64);
-                if node.class_record(class).ejected_until < node.suspect_since {
+                if node.class_health(class).ejected_until < node.suspect_since {
                     self.admission.crashes.push(now, 1.0);
                 }
                 self.eject(now, id, None);
             }
             AttemptOutcome::TimedOut | AttemptOutcome::Cancelled if is_late => {
                 node.latencies.push(now, latency.max(late_after) as f64);
-                self.eject(now, id, Some(Silence { since: now - latency, is_remote }));
+                self.eject(now, id, Some(LateAttempt { sent_at: now - latency, is_remote }));
             }
             AttemptOutcome::ServerError => self.eject(now, id, None),
             _ => {}
@@ -97,10 +97,10 @@
     fn learn_answer(&mut self, now: Micros, observation: Observation, usual: Micros) {
         let Observation { node, class, latency, .. } = observation;
         let node = &mut self.nodes[node];
-        node.answered(now, class, latency);
-        node.class_record_mut(class).strikes /= 2;
+        node.record_answer(now, class, latency);
+        node.class_health_mut(class).failure_score /= 2;
         if latency <= usual {
-            node.last_outage_at = 0;
+            node.last_connect_failure_at = 0;
         }
         self.statistics.record_latency(now, node.zone, latency, RETAINED.zone_latencies);
     }
@@ -108,21 +108,22 @@
     /// Guards against many attempts that an overloaded node rejects, each of which costs it work.
     fn learn_rejection(&mut self, now: Micros, id: NodeId, usual: Micros) {
         let node = &mut self.nodes[id];
-        if now >= node.rejecting_until {
+        if now >= node.rejection_backoff_until {
             node.consecutive_rejections = (node.consecutive_rejections + 1).min(5);
-            node.rejecting_until = now + ((usual / 2) << node.consecutive_rejections).min(RECENT / 10);
+            node.rejection_backoff_until =
+                now + ((usual / 2) << node.consecutive_rejections).min(RECENT / 10);
         }
     }
 
     /// Ejects a node for longer with each failure, one at a time. A silence is not held against a node that
     /// is slow to reach, or for a class that was answered meanwhile.
-    fn eject(&mut self, now: Micros, id: NodeId, silence: Option<Silence>) {
+    fn eject(&mut self, now: Micros, id: NodeId, silence: Option<LateAttempt>) {
         for class in 0..self.classes.len() {
-            let record = self.nodes[id].class_record_mut(class);
-            let is_excused = silence.is_some_and(|it| it.is_remote || record.last_success_at > it.since);
+            let record = self.nodes[id].class_health_mut(class);
+            let is_excused = silence.is_some_and(|it| it.is_remote || record.last_success_at > it.sent_at);
             if now >= record.ejected_until && !is_excused {
-                record.strikes = (record.strikes + 1).min(5);
-                record.ejected_until = now + (250_000 << record.strikes);
+                record.failure_score = (record.failure_score + 1).min(5);
+                record.ejected_until = now + (250_000 << record.failure_score);
             }
         }
     }
@@ -135,19 +136,19 @@
             return;
         }
         let loses_attempts = |&idle: &f64| {
-            let [short, long] = idle_times.split(from, idle);
+            let [short, long] = idle_times.split_by_magnitude(from, idle);
             let is_frequent = long.negative > 1.0 && 5.0 * long.negative > long.total;
             is_frequent && long.negative * (short.total + 1.0) > 2.0 * short.negative * long.total
         };
         let lost = idle_times.since(from).map(|idle| -idle).filter(|&idle| idle > 1e5);
         let shortest = lost.filter(loses_attempts).fold(Micros::MAX as f64, f64::min);
-        self.statistics.max_idle = shortest as Micros;
+        self.statistics.max_idle_time = shortest as Micros;
     }
 
     /// Adjusts the concurrency limit of a node to what its latencies leave of the latency objective.
     pub(super) fn adjust_concurrency_limit(&mut self, now: Micros, observation: Observation) {
         let Observation { node: id, class, outcome, latency } = observation;
-        let (batch, least) = (self.site.max_batch.max(2) as f64, self.min_concurrency_limit());
+        let (batch, least) = (self.deployment.max_batch.max(2) as f64, self.min_concurrency_limit());
         let target = 0.25 * self.classes[class].latency_objective as f64;
         let is_slow = (latency - self.cross_zone_latency(id)) as f64 > target
             && matches!(outcome, AttemptOutcome::Succeeded | AttemptOutcome::Cancelled);
@@ -166,7 +167,7 @@
         }
         if node.concurrency_limit < batch {
             let pause = usual as f64 * (batch / node.concurrency_limit - 1.0);
-            node.resumes_at = now + pause.min(RECENT as f64 / 5.0) as Micros;
+            node.paused_until = now + pause.min(RECENT as f64 / 5.0) as Micros;
         }
     }
 
@@ -180,7 +181,7 @@
         self.statistics.refresh_rates(from, period, self.shards.ready_nodes());
         for class in &mut self.classes {
             let duration = class.durations.quantile(0.75, from).unwrap_or(0.0) as Micros;
-            class.usual_duration = duration.min(class.latency_objective / 2);
+            class.expected_duration = duration.min(class.latency_objective / 2);
         }
     }
 
@@ -196,8 +197,9 @@
         let Some(state) = self.nodes.get(node).filter(|state| state.is_listed()) else {
             return EndpointHealth::Removed;
         };
-        let ejected_until = state.class_records.iter().map(|record| record.ejected_until).max().unwrap_or(0);
-        let capacity = state.concurrency_limit * self.site.routers;
+        let ejected_until =
+            state.health_by_class.iter().map(|record| record.ejected_until).max().unwrap_or(0);
+        let capacity = state.concurrency_limit * self.deployment.routers;
         match self.slow_start(now, node) {
             _ if !state.is_ready() => EndpointHealth::Draining,
             _ if ejected_until > now => EndpointHealth::EjectedUntil(ejected_until),
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -14,8 +14,8 @@
 mod tests;
 
 use crate::state::{
-    Assignment, Candidate, Choice, ColdEvidence, Completeness, InFlightAttempt, LimitCheck, Observation,
-    Plan, Preference, Progress, Query, Repeat, SamplesRetained, Silence, SlowStart,
+    Assignment, Candidate, Choice, Completeness, InFlightAttempt, LateAttempt, LimitCheck, Observation, Plan,
+    Preference, Progress, Query, Repeat, SamplesRetained, SlowStart, WarmUpReason,
 };
 use crate::{
     Actions, AttemptEnd, AttemptOutcome, Balancer, Completion, EndpointHealth, Idempotency, LoadReport,
@@ -49,7 +49,7 @@
     rejections: 128,
     crashes: CANARY_CRASHES,
     class_durations: 32,
-    class_times_allowed: 64,
+    class_query_timeouts: 64,
 };
 
 /// What a stage does with a query.
--- a/crates/balancer/src/policy/retries.rs
+++ b/crates/balancer/src/policy/retries.rs
@@ -35,9 +35,9 @@
         let class = self.queries.query_of(id).class;
         let repeat = request.next_repeat();
         let is_late = now - request.sent_at > self.late_after(class, last_node)
-            || self.nodes[last_node].class_record(class).ejected_until > now;
+            || self.nodes[last_node].class_health(class).ejected_until > now;
         let is_hedge = repeat == Repeat::Hedge;
-        let new_idle = if is_hedge && is_late { self.queries[id].idle_before.take() } else { None };
+        let new_idle = if is_hedge && is_late { self.queries[id].idle_time.take() } else { None };
         if let Some(idle) = new_idle {
             self.observe_idle(now, true, idle);
         }
@@ -64,14 +64,14 @@
     fn may_hedge(&self, id: ShardRequestId, class: usize) -> bool {
         let objective = self.classes[class].latency_objective;
         let is_overloaded = self.statistics.median_latency().is_some_and(|median| 4 * median > objective);
-        self.queries[id].in_flight < 2 && self.site.hedging && !is_overloaded
+        self.queries[id].in_flight < 2 && self.deployment.hedging && !is_overloaded
     }
 
     /// Whether another attempt can be in time and does no harm.
     fn may_repeat(&self, now: Micros, id: ShardRequestId, repeat: Repeat) -> bool {
         let (request, query) = (&self.queries[id], self.queries.query_of(id));
         let wanted_by = if repeat == Repeat::Hedge { query.latency_objective } else { query.deadline };
-        request.attempts.len() < self.site.max_attempts
+        request.attempts.len() < self.deployment.max_attempts
             && now + self.statistics.median_latency().unwrap_or(0) < wanted_by
             && self.may_run_again(now, id, repeat)
     }
@@ -79,7 +79,7 @@
     /// Proof that nothing was executed permits a retry in any class; without it the class decides.
     fn may_run_again(&self, now: Micros, id: ShardRequestId, repeat: Repeat) -> bool {
         let class = &self.classes[self.queries.query_of(id).class];
-        let Some(first) = self.queries[id].may_have_run_since else { return repeat == Repeat::Retry };
+        let Some(first) = self.queries[id].may_have_executed_since else { return repeat == Repeat::Retry };
         match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::Keyed => now < first + class.idempotency_window - self.answer_margin(),
@@ -97,8 +97,8 @@
     /// How many more attempts the budget allows; hedged ones keep to half of it and a tenth of what arrived.
     pub(super) fn budget_left(&self, now: Micros, repeat: Repeat) -> f64 {
         let (is_hedge, arrivals) = (repeat == Repeat::Hedge, &self.admission.arrivals);
-        let stated = self.site.retry_budget.map_or(f64::INFINITY, |budget| {
-            let allowed = budget.free + budget.share * arrivals.sum(now - budget.window + 1);
+        let stated = self.deployment.retry_budget.map_or(f64::INFINITY, |budget| {
+            let allowed = budget.min_retries + budget.retry_share * arrivals.sum(now - budget.window + 1);
             let allowed = if is_hedge { allowed / 2.0 } else { allowed };
             allowed.floor() - self.retries.sum(now - budget.window)
         });
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -14,7 +14,7 @@
                 continue;
             };
             let planned = plan.count_at(node);
-            let capacity = self.site.max_batch.min(self.capacity(node, planned, class));
+            let capacity = self.deployment.max_batch.min(self.capacity(node, planned, class));
             let capacity = self.cold_batch_limit(now, node, planned, class, capacity);
             let held = left.iter().copied().filter(|&id| self.holds(node, id));
             let batch: Vec<ShardRequestId> = held.take(capacity).collect();
@@ -38,7 +38,7 @@
         let rate = |node| self.rate(now, node, plan.count_at(node), class);
         let candidates: Vec<Candidate> = replicas.into_iter().map(rate).collect();
         let healthy = candidates.iter().filter(|candidate| candidate.preference == Preference::Healthy);
-        let best = healthy.map(|candidate| candidate.finish).fold(f64::INFINITY, f64::min);
+        let best = healthy.map(|candidate| candidate.estimated_latency).fold(f64::INFINITY, f64::min);
         let is_allowed =
             |node| has_capacity(node) && self.has_cold_capacity(now, node, plan.count_at(node) + 1, class);
         let allowed = candidates.into_iter().filter(|candidate| is_allowed(candidate.node));
@@ -46,11 +46,11 @@
         choices.min_by_key(|choice| {
             let node = &self.nodes[choice.node];
             let shared = left.iter().filter(|&&request| self.holds(choice.node, request));
-            let batch = shared.take(self.site.max_batch).count();
+            let batch = shared.take(self.deployment.max_batch).count();
             // Guards against routers that start together all taking the first node of a list first.
             let tie_break = (node.tie_break * 1e9) as u64;
             let planned = plan.count_at(choice.node);
-            (Reverse(choice.preference), Reverse(batch), planned, node.last_used, tie_break)
+            (Reverse(choice.preference), Reverse(batch), planned, node.last_batch_number, tie_break)
         })
     }
 
@@ -65,17 +65,17 @@
 
     fn rate(&self, now: Micros, id: NodeId, planned: usize, class: usize) -> Candidate {
         let ahead = (self.nodes[id].in_flight.len() + planned) as f64;
-        let finish = self.expected_latency(now, id) * (1.0 + ahead);
-        Candidate { node: id, preference: self.preference(now, id, class), finish }
+        let estimated_latency = self.expected_latency(now, id) * (1.0 + ahead);
+        Candidate { node: id, preference: self.preference(now, id, class), estimated_latency }
     }
 
     /// Prefers nodes that take about as long as the `best`, and among these the ones of the router's zone.
-    fn choose(&self, Candidate { node, preference, finish }: Candidate, best: f64) -> Choice {
+    fn choose(&self, Candidate { node, preference, estimated_latency }: Candidate, best: f64) -> Choice {
         let allowance = self.statistics.median_latency().unwrap_or(0) as f64;
         let preference = match preference {
-            Preference::Healthy if finish > 2.0 * best + allowance => Preference::Healthy,
-            Preference::Healthy if self.nodes[node].zone == self.site.zone => Preference::Local,
-            Preference::Healthy => Preference::Prompt,
+            Preference::Healthy if estimated_latency > 2.0 * best + allowance => Preference::Healthy,
+            Preference::Healthy if self.nodes[node].zone == self.deployment.zone => Preference::Local,
+            Preference::Healthy => Preference::Fast,
             other => other,
         };
         Choice { node, preference }
@@ -84,7 +84,7 @@
     /// How much a node is preferred by itself: healthy with nothing late, usable if it is not ejected.
     pub(super) fn preference(&self, now: Micros, id: NodeId, class: usize) -> Preference {
         let node = &self.nodes[id];
-        if node.class_record(class).ejected_until > now || node.rejecting_until > now {
+        if node.class_health(class).ejected_until > now || node.rejection_backoff_until > now {
             return Preference::Unavailable;
         }
         let is_late = node.oldest_sent_at().is_some_and(|at| now - at > self.late_after(class, id));
@@ -93,25 +93,25 @@
         let is_proven = !is_suspect && node.failure_share(now - RECENT) < 0.1;
         let is_too_risky = !is_proven && self.classes[class].idempotency == Idempotency::NonIdempotent;
         let needs_caution = is_late || is_too_risky || is_suspect && !node.in_flight.is_empty();
-        if needs_caution { Preference::Usable } else { Preference::Healthy }
+        if needs_caution { Preference::Degraded } else { Preference::Healthy }
     }
 
     /// How many more shard requests of this router a node may have in flight.
     pub(super) fn capacity(&self, id: NodeId, planned: usize, class: usize) -> usize {
-        let (node, batch) = (&self.nodes[id], self.site.max_batch.max(2));
+        let (node, batch) = (&self.nodes[id], self.deployment.max_batch.max(2));
         let taken = self.admission.reservations[id.0] + planned;
         // Deviation: from many routers one batch each is too much. A limit under one batch becomes a pause,
         // and a suspect node is tried with one shard request. Guards against overload that tries keep up.
         let is_suspect = node.is_suspect(class);
         if node.concurrency_limit < batch as f64 || is_suspect {
-            let is_free = node.in_flight.is_empty() && self.now >= node.resumes_at;
+            let is_free = node.in_flight.is_empty() && self.now >= node.paused_until;
             let limit = if is_suspect { self.min_concurrency_limit().ceil() as usize } else { batch };
             return (is_free as usize * limit).saturating_sub(taken);
         }
         let limit = node.concurrency_limit as usize;
         let earlier = node.in_flight.iter().filter(|attempt| attempt.sent_at < self.now).count();
         // Deviation: a filled node is used again only for a full batch, so that requests share its cost.
-        if node.filled && earlier > limit.saturating_sub(self.site.max_batch) {
+        if node.reached_limit && earlier > limit.saturating_sub(self.deployment.max_batch) {
             return 0;
         }
         limit.saturating_sub(node.in_flight.len() + taken)
@@ -119,8 +119,8 @@
 
     /// One batch or two shard requests at least, but no more than four times that for all routers together.
     pub(super) fn min_concurrency_limit(&self) -> f64 {
-        let batch = self.site.max_batch.max(2) as f64;
-        batch.min(MAX_CONCURRENCY_LIMIT / 2.0 * batch / self.site.routers)
+        let batch = self.deployment.max_batch.max(2) as f64;
+        batch.min(MAX_CONCURRENCY_LIMIT / 2.0 * batch / self.deployment.routers)
     }
 
     fn holds(&self, node: NodeId, id: ShardRequestId) -> bool {
@@ -138,7 +138,7 @@
 
     /// Guards against the distance between zones being taken for slow nodes: how much longer an answer takes.
     pub(super) fn cross_zone_latency(&self, id: NodeId) -> Micros {
-        self.statistics.cross_zone.get(self.nodes[id].zone).copied().unwrap_or(0)
+        self.statistics.cross_zone_latencies.get(self.nodes[id].zone).copied().unwrap_or(0)
     }
 
     /// Sends an attempt, the first to a node in a decision with the work of its batch.
@@ -146,13 +146,13 @@
         let mut work = self.expected_work(self.queries.query_of(assignment.shard_request).class);
         let node = &mut self.nodes[assignment.node];
         if node.in_flight.last().is_none_or(|attempt| attempt.sent_at < now) {
-            work += self.site.batch_work;
-            self.statistics.batches += 1;
+            work += self.deployment.batch_work;
+            self.statistics.batches_sent += 1;
         }
         // Guards against connections that were dropped unnoticed while idle: a new one costs little.
-        if now - node.last_heard_at > self.statistics.max_idle && node.in_flight.is_empty() {
+        if now - node.last_activity_at > self.statistics.max_idle_time && node.in_flight.is_empty() {
             actions.close_idle_connections(assignment.node);
-            node.last_heard_at = now;
+            node.last_activity_at = now;
         }
         self.send(now, assignment, work, actions);
     }
--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -12,7 +12,7 @@
     for &node in rejecting {
         let node = &mut balancer.nodes[NodeId(node)];
         node.consecutive_rejections = 1;
-        node.rejecting_until = NOW - 1;
+        node.rejection_backoff_until = NOW - 1;
     }
     arrive(&mut balancer, 0, 4);
     balancer
@@ -131,7 +131,7 @@
     assert_eq!((abandoned_of(0.5, &[0, 1]), abandoned_of(0.5, &[0]), abandoned_of(1.0, &[0, 1])), (1, 0, 0));
     // An old rejection does not count, nor does one that was followed by an answer.
     let mut balancer = partial_query(0.5, &[0, 1]);
-    balancer.nodes[NodeId(0)].rejecting_until = NOW - RECENT - 1;
+    balancer.nodes[NodeId(0)].rejection_backoff_until = NOW - RECENT - 1;
     balancer.abandon_surplus(NOW, QueryId(0));
     assert_eq!(abandoned(&balancer), 0);
 }
--- a/crates/balancer/src/policy/tests/discovery.rs
+++ b/crates/balancer/src/policy/tests/discovery.rs
@@ -17,7 +17,7 @@
 #[test]
 fn a_polled_list_is_requested_again_later_after_a_failure() {
     let mut balancer = balancer(Idempotency::Idempotent);
-    balancer.site.poll_interval = Some(10_000_000);
+    balancer.deployment.poll_interval = Some(10_000_000);
     assert_eq!(decide(&mut balancer, NOW), ["watch true"]);
     update_endpoints(&mut balancer, EndpointUpdate::Failed, &[]);
     assert!(decide(&mut balancer, NOW + 499_000).is_empty());
@@ -32,7 +32,7 @@
         let mut balancer = balancer(Idempotency::Idempotent);
         arrive(&mut balancer, 10, 1);
         assert_eq!(decide(&mut balancer, NOW), ["send 11 0"]);
-        balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 3;
+        balancer.nodes[NodeId(0)].class_health_mut(0).failure_score = 3;
         let nodes = [(0, EndpointState::Removed, 0), (1, EndpointState::Ready, 0)];
         let nodes = if update == EndpointUpdate::Full { &nodes[1..] } else { &nodes[..] };
         update_endpoints(&mut balancer, update, nodes);
--- a/crates/balancer/src/policy/tests/endpoint_health.rs
+++ b/crates/balancer/src/policy/tests/endpoint_health.rs
@@ -50,7 +50,7 @@
         &LoadReport { connect_failures: 3.0, succeeded: 1.0, ..LoadReport::default() },
     );
     assert!(matches!(balancer.endpoint_health(until, NodeId(1)), EndpointHealth::EjectedUntil(_)));
-    assert_eq!(balancer.nodes[NodeId(1)].last_outage_at, until);
+    assert_eq!(balancer.nodes[NodeId(1)].last_connect_failure_at, until);
 }
 
 #[test]
--- a/crates/balancer/src/policy/tests/health.rs
+++ b/crates/balancer/src/policy/tests/health.rs
@@ -11,7 +11,7 @@
         balancer.learn(NOW + 250_000, observation(0, 0, AttemptOutcome::ConnectFailed, 250_000));
         let node = &balancer.nodes[NodeId(0)];
         assert_eq!(
-            (node.class_record(0).ejected_until > NOW + 250_000, node.last_outage_at > 0),
+            (node.class_health(0).ejected_until > NOW + 250_000, node.last_connect_failure_at > 0),
             (ejected, ejected)
         );
     }
@@ -24,15 +24,15 @@
     balancer.learn(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
     assert_eq!(
         (
-            balancer.nodes[NodeId(0)].class_record(0).strikes,
-            balancer.nodes[NodeId(0)].class_record(0).ejected_until
+            balancer.nodes[NodeId(0)].class_health(0).failure_score,
+            balancer.nodes[NodeId(0)].class_health(0).ejected_until
         ),
         (1, NOW + 500_000)
     );
     balancer.learn(NOW + 500_000, observation(0, 0, AttemptOutcome::ServerError, 5));
-    assert_eq!(balancer.nodes[NodeId(0)].class_record(0).ejected_until, NOW + 1_500_000);
+    assert_eq!(balancer.nodes[NodeId(0)].class_health(0).ejected_until, NOW + 1_500_000);
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW + 600_000)]);
-    assert_eq!(balancer.nodes[NodeId(0)].class_record(0).ejected_until, 0);
+    assert_eq!(balancer.nodes[NodeId(0)].class_health(0).ejected_until, 0);
 }
 
 #[test]
@@ -56,16 +56,16 @@
 #[test]
 fn an_unreachable_node_counts_as_warming_up_until_it_answers_in_time() {
     let mut balancer = balancer(Idempotency::Idempotent);
-    let rule = &mut balancer.site.cold_overload;
+    let rule = &mut balancer.deployment.cold_overload;
     (rule.window, rule.multiple) = (3_000_000, 1.0);
-    (rule.initial_capacity, rule.warm_up) = (0.1, 10_000_000);
+    (rule.initial_capacity_share, rule.warm_up) = (0.1, 10_000_000);
     balancer.nodes[NodeId(0)].work_sent.push(NOW, 1e6);
     assert!(balancer.has_cold_capacity(NOW, NodeId(0), 1, 0));
     balancer.learn(NOW, observation(0, 0, AttemptOutcome::ConnectFailed, 5));
     assert!(!balancer.has_cold_capacity(NOW, NodeId(0), 1, 0));
     // Unreachable after a lost connection counts as a crash; an answer in time shows that the node is warm.
     assert!(
-        balancer.nodes[NodeId(0)].class_record(0).ejected_until > NOW
+        balancer.nodes[NodeId(0)].class_health(0).ejected_until > NOW
             && balancer.admission.crashes.count(0) == 0
     );
     balancer.learn(NOW + 1, observation(1, 0, AttemptOutcome::ConnectionLost, 5));
@@ -80,7 +80,7 @@
 #[test]
 fn cross_zone_latency_is_not_held_against_a_node() {
     let mut balancer = balancer(Idempotency::Idempotent);
-    balancer.statistics.cross_zone = vec![0, 400_000];
+    balancer.statistics.cross_zone_latencies = vec![0, 400_000];
     balancer.nodes[NodeId(1)].zone = 1;
     balancer.adjust_concurrency_limit(NOW, observation(1, 0, AttemptOutcome::Succeeded, 600_000));
     assert_eq!(balancer.nodes[NodeId(1)].concurrency_limit, MAX_CONCURRENCY_LIMIT);
@@ -95,12 +95,12 @@
     for _ in 0..2 {
         balancer.observe_idle(NOW, true, 3_000_000);
     }
-    assert_eq!(balancer.statistics.max_idle, 3_000_000);
+    assert_eq!(balancer.statistics.max_idle_time, 3_000_000);
     for _ in 0..20 {
         balancer.observe_idle(NOW, true, 200_000);
     }
     assert_eq!(
-        balancer.statistics.max_idle, 200_000,
+        balancer.statistics.max_idle_time, 200_000,
         "losses after short idle times too are not put down to long ones"
     );
 }
@@ -109,12 +109,12 @@
 fn a_silence_is_not_held_against_a_class_that_was_answered() {
     let mut balancer = balancer(Idempotency::Idempotent);
     balancer.classes.push(balancer.classes[0].clone());
-    balancer.nodes[NodeId(0)].class_record_mut(1).last_success_at = NOW;
+    balancer.nodes[NodeId(0)].class_health_mut(1).last_success_at = NOW;
     balancer.learn(NOW + 5, observation(0, 0, AttemptOutcome::TimedOut, 2_000_000));
     assert_eq!(
         (
-            balancer.nodes[NodeId(0)].class_record(0).strikes,
-            balancer.nodes[NodeId(0)].class_record(1).strikes
+            balancer.nodes[NodeId(0)].class_health(0).failure_score,
+            balancer.nodes[NodeId(0)].class_health(1).failure_score
         ),
         (1, 0)
     );
@@ -129,7 +129,11 @@
         balancer.learn(NOW + 10, observation(0, 0, outcome, 9));
         let node = &balancer.nodes[NodeId(0)];
         assert_eq!(
-            (node.class_record(0).ejected_until, node.last_outage_at, balancer.admission.crashes.count(0)),
+            (
+                node.class_health(0).ejected_until,
+                node.last_connect_failure_at,
+                balancer.admission.crashes.count(0)
+            ),
             (0, 0, 0)
         );
         assert_eq!(
@@ -140,11 +144,11 @@
             shard_request: ShardRequestId(50),
             number: AttemptNumber(0),
             sent_at: NOW,
-            idle_before: 0,
+            idle_time: 0,
         });
         assert_eq!(
             (balancer.preference(NOW + 11, NodeId(0), 0), balancer.capacity(NodeId(0), 0, 0)),
-            (Preference::Usable, 0)
+            (Preference::Degraded, 0)
         );
         balancer.learn(NOW + 12, observation(0, 0, AttemptOutcome::Succeeded, 9));
         assert_eq!(
--- a/crates/balancer/src/policy/tests/selection.rs
+++ b/crates/balancer/src/policy/tests/selection.rs
@@ -43,7 +43,7 @@
 #[test]
 fn a_non_idempotent_shard_request_avoids_a_node_that_failed_recently() {
     let mut balancer = balancer(Idempotency::NonIdempotent);
-    balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 1;
+    balancer.nodes[NodeId(0)].class_health_mut(0).failure_score = 1;
     arrive(&mut balancer, 0, 1);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 1"]);
 }
@@ -72,7 +72,7 @@
         settings.rules.cold_overload_window = 3_000_000;
         settings.rules.cold_capacity_share = 0.2;
     });
-    (balancer.site.cold_overload.multiple, balancer.site.routers) = (2.0, 3.0);
+    (balancer.deployment.cold_overload.multiple, balancer.deployment.routers) = (2.0, 3.0);
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW)]);
     balancer
 }
@@ -142,12 +142,12 @@
     });
     balancer.nodes[NodeId(0)].concurrency_limit = 1.0;
     balancer.adjust_concurrency_limit(NOW, observation(0, 0, AttemptOutcome::Succeeded, 500_000));
-    assert!(balancer.nodes[NodeId(0)].resumes_at > NOW + 1_000_000);
+    assert!(balancer.nodes[NodeId(0)].paused_until > NOW + 1_000_000);
     balancer.now = NOW + 1_000_000;
     assert_eq!(balancer.capacity(NodeId(0), 0, 0), 0);
     balancer.now = NOW + 5_000_000;
     assert_eq!(balancer.capacity(NodeId(0), 0, 0), 4);
-    balancer.nodes[NodeId(0)].class_record_mut(0).strikes = 1;
+    balancer.nodes[NodeId(0)].class_health_mut(0).failure_score = 1;
     assert_eq!(balancer.capacity(NodeId(0), 0, 0), 1);
 }
 
@@ -162,7 +162,7 @@
     assert_eq!(balancer.preference(NOW + 11, NodeId(0), 0), Preference::Healthy);
     balancer.learn(NOW + 12, observation(0, 0, AttemptOutcome::ConnectionLost, 9));
     balancer.learn(NOW + 13, observation(0, 0, AttemptOutcome::Succeeded, 9));
-    assert_eq!(balancer.preference(NOW + 13, NodeId(0), 0), Preference::Usable);
+    assert_eq!(balancer.preference(NOW + 13, NodeId(0), 0), Preference::Degraded);
     assert_eq!(
         balancer.preference(NOW + 13 + RECENT, NodeId(0), 0),
         Preference::Healthy,
--- a/crates/balancer/src/policy/tests/slow_start.rs
+++ b/crates/balancer/src/policy/tests/slow_start.rs
@@ -17,7 +17,7 @@
 /// How many shard requests a node of this age may be sent in a window, with the slack of the terms.
 fn allowed(rule: &ColdOverloadRule, age: Micros) -> f64 {
     let grown = age as f64 / rule.warm_up as f64;
-    let capacity = rule.initial_capacity + (1.0 - rule.initial_capacity) * grown;
+    let capacity = rule.initial_capacity_share + (1.0 - rule.initial_capacity_share) * grown;
     let count = rule.multiple * capacity * rule.window as f64 / MEAN_WORK as f64;
     if count < 30.0 { count + 3.0 * count.sqrt() + 3.0 } else { count + 2.0 * count.sqrt() + 2.0 }
 }
@@ -38,7 +38,7 @@
         rules: RuleSettings {
             cold_overload_window: rule.window,
             cold_overload_multiple: rule.multiple,
-            cold_capacity_share: rule.initial_capacity,
+            cold_capacity_share: rule.initial_capacity_share,
             warm_up: rule.warm_up,
             ..Default::default()
         },
@@ -194,7 +194,7 @@
 
 /// A rule that allows little, for a window of a second.
 const RULE: ColdOverloadRule =
-    ColdOverloadRule { window: 1_000_000, multiple: 1.5, initial_capacity: 0.2, warm_up: 4_000_000 };
+    ColdOverloadRule { window: 1_000_000, multiple: 1.5, initial_capacity_share: 0.2, warm_up: 4_000_000 };
 /// Nearly all that warm nodes can take.
 const BUSY: Traffic = Traffic { utilization: [0.95, 0.95], restart_after: 14_000_000 };
 /// Twice as much from the restart on.
@@ -306,7 +306,7 @@
     let mut balancer = balancer_with_warming_node(10.0);
     balancer.statistics.mean_work_rate = 0.5;
     for node in [NodeId(0), NodeId(1)] {
-        balancer.nodes[node].last_outage_at = NOW;
+        balancer.nodes[node].last_connect_failure_at = NOW;
         balancer.nodes[node].work_sent.push(NOW + 1, 1_000_000.0);
     }
     let later = NOW + 3_900_000;
@@ -321,6 +321,6 @@
 #[test]
 fn an_outage_after_a_listed_start_does_not_begin_the_warm_up_again() {
     let mut balancer = balancer_with_warming_node(10.0);
-    balancer.nodes[NodeId(0)].last_outage_at = NOW + 3_000_000;
+    balancer.nodes[NodeId(0)].last_connect_failure_at = NOW + 3_000_000;
     assert_eq!(balancer.slow_start(NOW + 3_500_000, NodeId(0)).map(|slow_start| slow_start.since), Some(NOW));
 }
--- a/crates/balancer/src/state/admission_state.rs
+++ b/crates/balancer/src/state/admission_state.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PoisonQuery {
     /// When it ended.
-    pub at: Micros,
+    pub ended_at: Micros,
     /// What its retries have in common with it.
     pub fingerprint: QueryFingerprint,
 }
@@ -40,7 +40,7 @@
     /// Nodes that crashed.
     pub crashes: SlidingWindow,
     /// Whether so many nodes crashed that a canary attempt goes ahead of each query.
-    pub canaries: bool,
+    pub canary_mode: bool,
     /// Queries under which several nodes crashed.
     pub poison_queries: Vec<PoisonQuery>,
 }
@@ -81,13 +81,13 @@
     }
 
     /// Whether several nodes crashed after `since` under a query with this fingerprint.
-    pub fn is_poison(&self, fingerprint: QueryFingerprint, since: Micros) -> bool {
-        self.poison_queries.iter().any(|poison| poison.at > since && poison.fingerprint == fingerprint)
+    pub fn is_poison_query(&self, fingerprint: QueryFingerprint, since: Micros) -> bool {
+        self.poison_queries.iter().any(|poison| poison.ended_at > since && poison.fingerprint == fingerprint)
     }
 
     /// Remembers a query under which several nodes crashed, and forgets those until `since`.
-    pub fn remember_poison(&mut self, now: Micros, fingerprint: QueryFingerprint, since: Micros) {
-        self.poison_queries.retain(|poison| poison.at > since);
-        self.poison_queries.push(PoisonQuery { at: now, fingerprint });
+    pub fn record_poison_query(&mut self, now: Micros, fingerprint: QueryFingerprint, since: Micros) {
+        self.poison_queries.retain(|poison| poison.ended_at > since);
+        self.poison_queries.push(PoisonQuery { ended_at: now, fingerprint });
     }
 }
--- a/crates/balancer/src/state/candidate.rs
+++ b/crates/balancer/src/state/candidate.rs
@@ -8,11 +8,11 @@
     /// It is ejected or rejects attempts.
     Unavailable,
     /// An attempt is late there, or it is suspect and being tried.
-    Usable,
+    Degraded,
     /// Nothing is late, but it would take much longer than the best.
     Healthy,
     /// It takes about as long as the best.
-    Prompt,
+    Fast,
     /// It takes about as long as the best and is in the router's zone.
     Local,
 }
@@ -34,7 +34,7 @@
     /// How much it is preferred by itself.
     pub preference: Preference,
     /// The time it would take for one more shard request, relative to other candidates.
-    pub finish: f64,
+    pub estimated_latency: f64,
 }
 
 /// The node that was selected for a shard request.
@@ -49,6 +49,6 @@
 impl Choice {
     /// Whether the node may be used at all.
     pub fn is_usable(&self) -> bool {
-        self.preference >= Preference::Usable
+        self.preference >= Preference::Degraded
     }
 }
--- a/crates/balancer/src/state/site_settings.rs
+++ b/crates/balancer/src/state/deployment_settings.rs
@@ -10,7 +10,7 @@
     /// What may be sent in a window, as a multiple of the node's capacity.
     pub multiple: f64,
     /// The capacity of a node that has just started, as a share of a warm node's.
-    pub initial_capacity: f64,
+    pub initial_capacity_share: f64,
     /// How long a node takes to warm up.
     pub warm_up: Micros,
 }
@@ -21,14 +21,14 @@
     /// The window.
     pub window: Micros,
     /// How many are always allowed.
-    pub free: f64,
+    pub min_retries: f64,
     /// How many are allowed for each query and shard request that arrives.
-    pub share: f64,
+    pub retry_share: f64,
 }
 
 /// The settings of the site.
 #[derive(Default)]
-pub struct SiteSettings {
+pub struct DeploymentSettings {
     /// The zone of this router.
     pub zone: usize,
     /// How many routers there are.
@@ -48,7 +48,7 @@
     /// Whether the priority weight counts by work instead of by shard request.
     pub priority_by_work: bool,
     /// The longest wait that clients heed when they are rejected, where they are told one.
-    pub retry_after: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
     /// The longest time between two polls, where the endpoint list must be polled.
     pub poll_interval: Option<Micros>,
     /// The limit on work for nodes that are warming up.
@@ -57,12 +57,12 @@
     pub retry_budget: Option<RetryBudget>,
 }
 
-impl SiteSettings {
+impl DeploymentSettings {
     /// What the balancer takes where settings are absent: one attempt, and batches of one shard request.
     pub fn new(settings: &Settings) -> Self {
         let Settings { batch, limits, rules, .. } = settings;
         let polled = settings.discovery_mode == DiscoveryMode::Polled;
-        SiteSettings {
+        DeploymentSettings {
             zone: settings.zone,
             routers: settings.routers,
             decision_interval: settings.decision_interval,
@@ -72,18 +72,19 @@
             hedging: limits.hedging,
             cancellation: limits.cancellation,
             priority_by_work: settings.priority_by_work,
-            retry_after: (limits.retry_after && limits.max_retry_after > 0).then_some(limits.max_retry_after),
+            max_retry_after: (limits.retry_after && limits.max_retry_after > 0)
+                .then_some(limits.max_retry_after),
             poll_interval: polled.then_some(rules.poll_within),
             cold_overload: ColdOverloadRule {
                 window: rules.cold_overload_window,
                 multiple: rules.cold_overload_multiple,
-                initial_capacity: rules.cold_capacity_share,
+                initial_capacity_share: rules.cold_capacity_share,
                 warm_up: rules.warm_up,
             },
-            retry_budget: rules.retry_share.map(|share| RetryBudget {
+            retry_budget: rules.retry_share.map(|retry_share| RetryBudget {
                 window: rules.retry_window,
-                free: rules.free_retries,
-                share,
+                min_retries: rules.free_retries,
+                retry_share,
             }),
         }
     }
--- a/crates/balancer/src/state/discovery_state.rs
+++ b/crates/balancer/src/state/discovery_state.rs
@@ -21,7 +21,7 @@
 
 impl DiscoveryState {
     /// Notes an endpoint update; returns whether it is the first one after failures.
-    pub fn update_arrived(&mut self) -> bool {
+    pub fn record_update(&mut self) -> bool {
         let recovered = !self.watching && self.failures > 0;
         self.watching = true;
         self.failures = 0;
--- a/crates/balancer/src/state/fleet_statistics.rs
+++ b/crates/balancer/src/state/fleet_statistics.rs
@@ -27,7 +27,7 @@
     /// Latencies of attempts that were answered, by zone.
     pub zone_latencies: Vec<SlidingWindow>,
     /// How much longer an answer takes than from the nearest zone, by zone.
-    pub cross_zone: Vec<Micros>,
+    pub cross_zone_latencies: Vec<Micros>,
     /// Work sent, a sample for each shard request.
     pub work_sent: SlidingWindow,
     /// Work sent to a ready node on average in a microsecond.
@@ -37,11 +37,11 @@
     /// When the balancer first decided.
     pub first_decision_at: Option<Micros>,
     /// How many batches were sent.
-    pub batches: u64,
+    pub batches_sent: u64,
     /// How long nodes had not been heard from before an attempt, negative if that attempt was lost.
     pub idle_times: SlidingWindow,
     /// How long a connection may be idle and still be trusted.
-    pub max_idle: Micros,
+    pub max_idle_time: Micros,
 }
 
 impl FleetStatistics {
@@ -51,7 +51,7 @@
             latencies: SlidingWindow::new(retained.latencies),
             work_sent: SlidingWindow::new(retained.sends),
             idle_times: SlidingWindow::new(retained.idle_times),
-            max_idle: Micros::MAX,
+            max_idle_time: Micros::MAX,
             ..Default::default()
         }
     }
@@ -87,7 +87,7 @@
         let zones: Vec<Option<f64>> = self.zone_latencies.iter().map(low).collect();
         let nearest = zones.iter().flatten().copied().fold(f64::INFINITY, f64::min);
         let distance = |low: Option<f64>| low.map_or(0, |low| (low - nearest) as Micros);
-        self.cross_zone = zones.into_iter().map(distance).collect();
+        self.cross_zone_latencies = zones.into_iter().map(distance).collect();
     }
 
     /// The share of a core that a ready node spends on shard requests of this router on average; 0 until their
--- a/crates/balancer/src/state/node.rs
+++ b/crates/balancer/src/state/node.rs
@@ -14,14 +14,14 @@
     /// When it was sent.
     pub sent_at: Micros,
     /// How long the node had not been heard from by then.
-    pub idle_before: Micros,
+    pub idle_time: Micros,
 }
 
 /// What attempts of one service class showed of a node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ClassRecord {
+pub struct ClassHealth {
     /// Failures that have not been made up for by answers.
-    pub strikes: u32,
+    pub failure_score: u32,
     /// Until when the node is not used for this class.
     pub ejected_until: Micros,
     /// When it last answered.
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLoad {
     /// When it was reported.
-    pub at: Micros,
+    pub reported_at: Micros,
     /// Requests in flight there.
     pub in_flight: f64,
 }
@@ -45,18 +45,18 @@
     /// The share of a core's work that it may be sent in a window that ends now.
     pub share: f64,
     /// The share by the capacity that it has now.
-    pub present_share: f64,
+    pub current_share: f64,
     /// What shows that it is warming up.
-    pub evidence: ColdEvidence,
+    pub reason: WarmUpReason,
 }
 
 /// What shows that a node is warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ColdEvidence {
+pub enum WarmUpReason {
     /// The endpoint list names its start.
-    ListedStart,
+    RecentStart,
     /// It could not be reached: it may have restarted.
-    Outage,
+    ConnectFailure,
 }
 
 /// What this router knows of a data node.
@@ -67,7 +67,7 @@
     /// Its state according to discovery, if it was ever listed.
     pub state: Option<EndpointState>,
     /// The number of the last endpoint update that named it.
-    pub listed_by: u64,
+    pub last_update_number: u64,
     /// Index of its zone.
     pub zone: usize,
     /// Index of its replica set.
@@ -75,15 +75,15 @@
     /// When its process started, 0 for long ago.
     pub started_at: Micros,
     /// The sequence number of its last batch: the least recently used node has the lowest.
-    pub last_used: u64,
+    pub last_batch_number: u64,
     /// How many shard requests of this router may be in flight there.
     pub concurrency_limit: f64,
     /// When the limit was last reduced.
     pub limit_reduced_at: Micros,
     /// Until when it is not used while its limit is under one batch.
-    pub resumes_at: Micros,
+    pub paused_until: Micros,
     /// Whether the last attempt filled it to its limit.
-    pub filled: bool,
+    pub reached_limit: bool,
     /// Attempts in flight, the oldest first.
     pub in_flight: Vec<InFlightAttempt>,
     /// Latencies of attempts that were answered, or lower bounds of those that were not.
@@ -93,17 +93,17 @@
     /// Work sent.
     pub work_sent: SlidingWindow,
     /// What attempts showed, by service class.
-    pub class_records: Vec<ClassRecord>,
+    pub health_by_class: Vec<ClassHealth>,
     /// When it was last heard from, or its idle connections were closed.
-    pub last_heard_at: Micros,
+    pub last_activity_at: Micros,
     /// When a response was malformed or a connection was lost, 0 once it has answered since.
     pub suspect_since: Micros,
     /// When it could last not be connected to, 0 once it has answered as a warm node does.
-    pub last_outage_at: Micros,
+    pub last_connect_failure_at: Micros,
     /// Rejections since its last answer.
     pub consecutive_rejections: u32,
     /// Until when it is not used because it rejected an attempt.
-    pub rejecting_until: Micros,
+    pub rejection_backoff_until: Micros,
     /// The last load report.
     pub reported_load: Option<ReportedLoad>,
 }
@@ -114,25 +114,25 @@
         NodeState {
             tie_break,
             state: None,
-            listed_by: 0,
+            last_update_number: 0,
             zone: 0,
             replica_set: 0,
             started_at: 0,
-            last_used: 0,
+            last_batch_number: 0,
             concurrency_limit,
             limit_reduced_at: 0,
-            resumes_at: 0,
-            filled: false,
+            paused_until: 0,
+            reached_limit: false,
             in_flight: Vec::new(),
             latencies: SlidingWindow::new(retained.node_latencies),
             failures: SlidingWindow::new(retained.node_failures),
             work_sent: SlidingWindow::new(retained.node_sends),
-            class_records: Vec::new(),
-            last_heard_at: Micros::MAX,
+            health_by_class: Vec::new(),
+            last_activity_at: Micros::MAX,
             suspect_since: 0,
-            last_outage_at: 0,
+            last_connect_failure_at: 0,
             consecutive_rejections: 0,
-            rejecting_until: 0,
+            rejection_backoff_until: 0,
             reported_load: None,
         }
     }
@@ -153,34 +153,34 @@
     }
 
     /// What attempts of `class` showed.
-    pub fn class_record(&self, class: usize) -> ClassRecord {
-        self.class_records.get(class).copied().unwrap_or_default()
+    pub fn class_health(&self, class: usize) -> ClassHealth {
+        self.health_by_class.get(class).copied().unwrap_or_default()
     }
 
     /// What attempts of `class` showed, to be changed.
-    pub fn class_record_mut(&mut self, class: usize) -> &mut ClassRecord {
-        if self.class_records.len() <= class {
-            self.class_records.resize(class + 1, ClassRecord::default());
+    pub fn class_health_mut(&mut self, class: usize) -> &mut ClassHealth {
+        if self.health_by_class.len() <= class {
+            self.health_by_class.resize(class + 1, ClassHealth::default());
         }
-        &mut self.class_records[class]
+        &mut self.health_by_class[class]
     }
 
     /// Whether an error occurred that no answer has made up for since.
     pub fn is_suspect(&self, class: usize) -> bool {
-        self.suspect_since > 0 || self.class_record(class).strikes > 0
+        self.suspect_since > 0 || self.class_health(class).failure_score > 0
     }
 
     /// Whether it rejected an attempt, not to be used again until after `from`, and has not answered since.
-    pub fn is_rejecting_since(&self, from: Micros) -> bool {
-        self.consecutive_rejections > 0 && self.rejecting_until > from
+    pub fn has_rejected_since(&self, from: Micros) -> bool {
+        self.consecutive_rejections > 0 && self.rejection_backoff_until > from
     }
 
     /// Notes an answer, which clears suspicion.
-    pub fn answered(&mut self, now: Micros, class: usize, latency: Micros) {
-        self.class_record_mut(class).last_success_at = now;
+    pub fn record_answer(&mut self, now: Micros, class: usize, latency: Micros) {
+        self.class_health_mut(class).last_success_at = now;
         self.consecutive_rejections = 0;
-        self.rejecting_until = now;
-        self.last_heard_at = now;
+        self.rejection_backoff_until = now;
+        self.last_activity_at = now;
         self.suspect_since = 0;
         self.latencies.push(now, latency as f64);
     }
@@ -191,39 +191,41 @@
     }
 
     /// Notes how many requests other proxies have in flight there.
-    pub fn load_reported(&mut self, now: Micros, in_flight: f64) {
-        self.reported_load = Some(ReportedLoad { at: now, in_flight });
+    pub fn record_load_report(&mut self, now: Micros, in_flight: f64) {
+        self.reported_load = Some(ReportedLoad { reported_at: now, in_flight });
     }
 
     /// The requests that other proxies had in flight there, by a report after `from`.
     pub fn reported_in_flight(&self, from: Micros) -> f64 {
-        self.reported_load.filter(|load| load.at > from).map_or(0.0, |load| load.in_flight)
+        self.reported_load.filter(|load| load.reported_at > from).map_or(0.0, |load| load.in_flight)
     }
 
     /// Notes what endpoint update number `update` says of it.
-    pub fn apply(&mut self, endpoint: &Endpoint, update: u64) {
+    pub fn apply_update(&mut self, endpoint: &Endpoint, update: u64) {
         self.zone = endpoint.zone;
         self.replica_set = endpoint.replica_set;
         self.state = Some(endpoint.state);
-        self.listed_by = update;
+        self.last_update_number = update;
     }
 
     /// Notes that a full update does not name it.
-    pub fn mark_unlisted(&mut self) {
+    pub fn mark_removed(&mut self) {
         self.state = self.state.map(|_| EndpointState::Removed);
     }
 
     /// Notes a new process, and forgets what was seen of the one before.
-    pub fn restart(&mut self, started_at: Micros) {
+    pub fn record_restart(&mut self, started_at: Micros) {
         self.started_at = started_at;
-        self.class_records.clear();
+        self.health_by_class.clear();
         self.latencies.clear();
         self.failures.clear();
         self.suspect_since = 0;
     }
 
     /// Removes an attempt from those in flight.
-    pub fn take(&mut self, shard_request: ShardRequestId, number: AttemptNumber) -> Option<InFlightAttempt> {
+    pub fn remove_in_flight(
+        &mut self, shard_request: ShardRequestId, number: AttemptNumber,
+    ) -> Option<InFlightAttempt> {
         let is_it =
             |attempt: &InFlightAttempt| attempt.shard_request == shard_request && attempt.number == number;
         let index = self.in_flight.iter().position(is_it)?;
--- a/crates/balancer/src/state/node_table.rs
+++ b/crates/balancer/src/state/node_table.rs
@@ -36,8 +36,8 @@
     /// Marks the nodes as removed that endpoint update number `update` did not name.
     pub fn remove_unlisted(&mut self, update: u64) {
         for node in &mut self.nodes {
-            if node.listed_by != update {
-                node.mark_unlisted();
+            if node.last_update_number != update {
+                node.mark_removed();
             }
         }
     }
--- a/crates/balancer/src/state/observation.rs
+++ b/crates/balancer/src/state/observation.rs
@@ -17,9 +17,9 @@
 
 /// An attempt that got no answer in time.
 #[derive(Clone, Copy, Debug)]
-pub struct Silence {
+pub struct LateAttempt {
     /// When it was sent.
-    pub since: Micros,
+    pub sent_at: Micros,
     /// Whether the node is in a zone that is slow to reach.
     pub is_remote: bool,
 }
--- a/crates/balancer/src/state/query.rs
+++ b/crates/balancer/src/state/query.rs
@@ -41,7 +41,7 @@
     /// Whether its first batch was sent ahead of the rest.
     pub has_canary: bool,
     /// Whether a shard request was answered.
-    pub answered: bool,
+    pub has_answer: bool,
     /// The nodes that lost a connection under it.
     pub crashed_nodes: Vec<NodeId>,
 }
@@ -61,7 +61,7 @@
             first_step_complete: false,
             admitted_at: None,
             has_canary: false,
-            answered: false,
+            has_answer: false,
             crashed_nodes: Vec::new(),
         }
     }
@@ -85,7 +85,7 @@
 
     /// Notes how an attempt at one of its shard requests ended.
     pub fn attempt_ended(&mut self, node: NodeId, outcome: AttemptOutcome) {
-        self.answered |= outcome == AttemptOutcome::Succeeded;
+        self.has_answer |= outcome == AttemptOutcome::Succeeded;
         if outcome == AttemptOutcome::ConnectionLost && !self.crashed_nodes.contains(&node) {
             self.crashed_nodes.push(node);
         }
--- a/crates/balancer/src/state/query_table.rs
+++ b/crates/balancer/src/state/query_table.rs
@@ -10,9 +10,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
     /// The weight of those answered.
-    pub answered: f64,
+    pub answered_weight: f64,
     /// The weight of those answered or expected to be.
-    pub possible: f64,
+    pub possible_weight: f64,
     /// Whether an answer is expected.
     pub any_pending: bool,
     /// Whether all were answered.
@@ -23,7 +23,7 @@
 
 /// The attempts of a query that are in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct InFlight {
+pub struct InFlightSummary {
     /// How many there are.
     pub attempts: usize,
     /// When the last attempt of the query was sent.
@@ -87,8 +87,8 @@
     }
 
     /// Whether an attempt at the query may have been executed.
-    pub fn may_have_run(&self, id: QueryId) -> bool {
-        self[id].shard_requests.iter().any(|&id| self[id].may_have_run_since.is_some())
+    pub fn may_have_executed(&self, id: QueryId) -> bool {
+        self[id].shard_requests.iter().any(|&id| self[id].may_have_executed_since.is_some())
     }
 
     /// What the tries of one client have in common.
@@ -105,15 +105,15 @@
     /// How far some shard requests have come.
     pub fn progress(&self, shard_requests: &[ShardRequestId]) -> Progress {
         let mut progress = Progress {
-            answered: 0.0,
-            possible: 0.0,
+            answered_weight: 0.0,
+            possible_weight: 0.0,
             any_pending: false,
             all_answered: true,
             any_abandoned: false,
         };
         for shard_request in shard_requests.iter().map(|&id| &self[id]) {
-            progress.answered += shard_request.is_answered() as u8 as f64 * shard_request.weight;
-            progress.possible += !shard_request.is_abandoned() as u8 as f64 * shard_request.weight;
+            progress.answered_weight += shard_request.is_answered() as u8 as f64 * shard_request.weight;
+            progress.possible_weight += !shard_request.is_abandoned() as u8 as f64 * shard_request.weight;
             progress.any_pending |= shard_request.is_pending();
             progress.all_answered &= shard_request.is_answered();
             progress.any_abandoned |= shard_request.is_abandoned();
@@ -122,8 +122,8 @@
     }
 
     /// The attempts of a query that are in flight.
-    pub fn in_flight(&self, id: QueryId) -> InFlight {
-        let mut in_flight = InFlight::default();
+    pub fn in_flight(&self, id: QueryId) -> InFlightSummary {
+        let mut in_flight = InFlightSummary::default();
         for shard_request in self[id].shard_requests.iter().map(|&id| &self[id]) {
             in_flight.attempts += shard_request.in_flight;
             in_flight.last_sent_at = in_flight.last_sent_at.max(shard_request.sent_at);
--- a/crates/balancer/src/state/samples_retained.rs
+++ b/crates/balancer/src/state/samples_retained.rs
@@ -27,5 +27,5 @@
     /// Durations of the queries of each class.
     pub class_durations: usize,
     /// Times that clients left for the queries of each class.
-    pub class_times_allowed: usize,
+    pub class_query_timeouts: usize,
 }
--- a/crates/balancer/src/state/service_class.rs
+++ b/crates/balancer/src/state/service_class.rs
@@ -41,9 +41,9 @@
     /// How long complete queries took from their admission.
     pub durations: SlidingWindow,
     /// How long a query usually takes from its admission, as of this decision.
-    pub usual_duration: Micros,
+    pub expected_duration: Micros,
     /// The time that clients left for their queries.
-    pub time_allowed: SlidingWindow,
+    pub query_timeouts: SlidingWindow,
 }
 
 impl ServiceClass {
@@ -62,8 +62,8 @@
             idempotency_window: settings.idempotency_window,
             second_step: settings.second_step,
             durations: SlidingWindow::new(retained.class_durations),
-            usual_duration: 0,
-            time_allowed: SlidingWindow::new(retained.class_times_allowed),
+            expected_duration: 0,
+            query_timeouts: SlidingWindow::new(retained.class_query_timeouts),
         }
     }
 }
--- a/crates/balancer/src/state/shard_request.rs
+++ b/crates/balancer/src/state/shard_request.rs
@@ -39,9 +39,9 @@
     pub sent_at: Micros,
     /// How long the node of the last attempt had not been heard from by then; absent once that attempt was
     /// found late.
-    pub idle_before: Option<Micros>,
+    pub idle_time: Option<Micros>,
     /// When the earliest attempt was sent that may have been executed.
-    pub may_have_run_since: Option<Micros>,
+    pub may_have_executed_since: Option<Micros>,
     /// How many attempts are proven not to have been executed.
     pub proven_not_executed: usize,
     /// Whether it has ended.
@@ -58,8 +58,8 @@
             attempts: Vec::new(),
             in_flight: 0,
             sent_at: 0,
-            idle_before: None,
-            may_have_run_since: None,
+            idle_time: None,
+            may_have_executed_since: None,
             proven_not_executed: 0,
             status: ShardRequestStatus::Pending,
         }
@@ -101,12 +101,12 @@
     }
 
     /// Notes an attempt, and returns its number.
-    pub fn attempt_sent(&mut self, now: Micros, node: NodeId, idle_before: Micros) -> AttemptNumber {
-        self.idle_before = Some(idle_before);
+    pub fn attempt_sent(&mut self, now: Micros, node: NodeId, idle_time: Micros) -> AttemptNumber {
+        self.idle_time = Some(idle_time);
         self.attempts.push(node);
         self.in_flight += 1;
         self.sent_at = now;
-        self.may_have_run_since.get_or_insert(now);
+        self.may_have_executed_since.get_or_insert(now);
         AttemptNumber(self.attempts.len() - 1)
     }
 
@@ -118,7 +118,7 @@
         }
         self.proven_not_executed += outcome.proves_not_executed() as usize;
         if self.proven_not_executed == self.attempts.len() {
-            self.may_have_run_since = None;
+            self.may_have_executed_since = None;
         }
     }
 }
--- a/crates/balancer/src/state/sliding_window.rs
+++ b/crates/balancer/src/state/sliding_window.rs
@@ -101,7 +101,7 @@
 
     /// Of the samples taken at `from` or later: the counts of those whose magnitude is under `magnitude`, and
     /// of the others.
-    pub fn split(&self, from: Micros, magnitude: f64) -> [SignCounts; 2] {
+    pub fn split_by_magnitude(&self, from: Micros, magnitude: f64) -> [SignCounts; 2] {
         let mut counts = [SignCounts::default(); 2];
         for value in self.since(from) {
             let count = &mut counts[(value.abs() >= magnitude) as usize];
