--- a/crates/balancer/examples/decide_cost.rs
+++ b/crates/balancer/examples/decide_cost.rs
@@ -1,7 +1,7 @@
-//! Measures what a decision costs and how much memory the balancer holds as the fleet grows:
+//! Measures the time per decision, the time per query and the resident memory of the balancer for a fleet size:
 //! `cargo run --release --example decide_cost -- NODES ROUTERS`.
 //!
-//! For 20 s of simulated time, five queries of 53 shard requests arrive each second, and each attempt is
+//! During 20 s of simulated time, five queries of 53 shard requests arrive per second, and each attempt is
 //! answered after 20 ms.
 
 use balancer::{
@@ -14,11 +14,11 @@
 const DECISION_INTERVAL: Micros = 5_000;
 const DURATION: Micros = 20_000_000;
 const START: Micros = 1_000_000_000;
-/// Decisions between two queries.
+/// Number of decisions between two queries.
 const QUERY_INTERVAL: Micros = 40;
 const QUERY_SIZE: usize = 53;
 const ANSWER_LATENCY: Micros = 20_000;
-/// Ids are used again after this many queries, as a front end does once they are released.
+/// Number of queries after which identifiers are reused, as a front end does after their release.
 const QUERY_SLOTS: usize = 100;
 
 struct PendingAnswer {
@@ -27,7 +27,7 @@
     node: NodeId,
 }
 
-/// Nodes that answer every attempt.
+/// Simulated nodes that answer every attempt.
 #[derive(Default)]
 struct Fleet {
     now: Micros,
@@ -45,7 +45,7 @@
 }
 
 impl Fleet {
-    /// Reports the answers that are due.
+    /// Passes the answers that are due to the balancer.
     fn report_answers(&mut self, balancer: &mut Balancer) {
         let (due, later): (Vec<PendingAnswer>, Vec<PendingAnswer>) =
             std::mem::take(&mut self.pending).into_iter().partition(|answer| answer.at <= self.now);
@@ -86,7 +86,7 @@
     }
 }
 
-fn list_nodes(balancer: &mut Balancer, fleet: &mut Fleet, nodes: usize, replica_sets: usize) {
+fn report_endpoints(balancer: &mut Balancer, fleet: &mut Fleet, nodes: usize, replica_sets: usize) {
     balancer.endpoint_update_started(START, EndpointUpdate::Full);
     for node in 0..nodes {
         let endpoint = Endpoint {
@@ -102,7 +102,7 @@
     balancer.endpoint_update_finished(START, fleet);
 }
 
-fn arrive(balancer: &mut Balancer, now: Micros, sequence: usize, replica_sets: usize) {
+fn report_query(balancer: &mut Balancer, now: Micros, sequence: usize, replica_sets: usize) {
     let id = sequence % QUERY_SLOTS * (QUERY_SIZE + 1);
     let query = QueryArrival {
         query: QueryId(id),
@@ -126,36 +126,36 @@
     }
 }
 
-/// The resident memory of this process in MiB, by pages of 4 KiB.
+/// Returns the resident memory of this process in MiB, assuming pages of 4 KiB.
 fn resident_mib() -> f64 {
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages: f64 = statm.split(' ').nth(1).and_then(|word| word.parse().ok()).unwrap_or(f64::NAN);
+    let pages: f64 = statm.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(f64::NAN);
     pages / 256.0
 }
 
 fn main() {
-    let argument = |index: usize, absent: usize| {
-        std::env::args().nth(index).and_then(|word| word.parse().ok()).unwrap_or(absent)
+    let argument = |index: usize, default: usize| {
+        std::env::args().nth(index).and_then(|text| text.parse().ok()).unwrap_or(default)
     };
     let (nodes, routers) = (argument(1, 200), argument(2, 300));
     let replica_sets = (nodes / 2).max(1);
     let mut balancer = Balancer::new(1, settings(replica_sets, routers));
     let mut fleet = Fleet::default();
-    list_nodes(&mut balancer, &mut fleet, nodes, replica_sets);
-    let (mut spent, mut decisions, mut queries) = (Duration::ZERO, 0, 0);
+    report_endpoints(&mut balancer, &mut fleet, nodes, replica_sets);
+    let (mut elapsed_total, mut decisions, mut queries) = (Duration::ZERO, 0, 0);
     for interval in 0..DURATION / DECISION_INTERVAL {
         fleet.now = START + interval * DECISION_INTERVAL;
         if interval % QUERY_INTERVAL == 0 {
-            arrive(&mut balancer, fleet.now, queries, replica_sets);
+            report_query(&mut balancer, fleet.now, queries, replica_sets);
             queries += 1;
         }
         fleet.report_answers(&mut balancer);
         let started = Instant::now();
         balancer.decide(fleet.now, &mut fleet);
-        spent += started.elapsed();
+        elapsed_total += started.elapsed();
         decisions += 1;
     }
-    let micros = spent.as_secs_f64() * 1e6;
+    let micros = elapsed_total.as_secs_f64() * 1e6;
     println!(
         "{nodes} nodes, {routers} routers: {:.1} us a decision, {:.0} us a query, {:.1} MiB resident, \
          {} of {queries} complete",
--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -1,79 +1,83 @@
-//! What the balancer asks of a front end.
+//! Operations that the balancer requests from a front end.
 
 use crate::{AttemptId, Micros, NodeId, QueryId, ShardRequestId};
 
-/// The final answer to a query.
+/// Final result of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Completion {
-    /// As many shards answered as the service class requires.
+    /// The answered shards reach the completeness that the service class requires.
     Complete,
-    /// Fewer shards answered than the class requires, but no fewer than its minimum.
+    /// The answered shards reach the minimum completeness of the class, but not the required one.
     Partial,
-    /// Not executed, or safe to execute again: the client may retry.
+    /// The query was not executed or is safe to execute again; the client may retry it.
     Rejected {
-        /// How long the client should wait before it retries, where that is advised.
+        /// Recommended delay before the client's retry; `None` if no delay is sent to the client.
         retry_after: Option<Micros>,
     },
-    /// Not answered; it may have been executed in part.
+    /// The query was not answered and may have been executed in part.
     Failed,
 }
 
-/// The condition of a node at this instant, for front ends that pass decisions on to other proxies.
-/// `capacity` is how many shard requests all routers together may have in flight there.
+/// Current health of a node, for front ends that configure other proxies. `capacity` is the number of shard
+/// requests that all routers together may have in flight at the node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum EndpointHealth {
-    /// It may be used up to its capacity.
+    /// The node accepts requests up to its capacity.
     Healthy {
-        /// Shard requests that may be in flight.
+        /// Maximum number of shard requests in flight.
         capacity: f64,
     },
-    /// An error occurred and it has not answered since.
+    /// The node has not answered since its last error.
     Suspect {
-        /// Shard requests that may be in flight.
+        /// Maximum number of shard requests in flight.
         capacity: f64,
     },
-    /// It started recently or was unreachable: its capacity is reduced.
+    /// The node started recently or was unreachable; its capacity is reduced.
     WarmingUp {
-        /// Shard requests that may be in flight.
+        /// Maximum number of shard requests in flight.
         capacity: f64,
-        /// The share of a warm node's load that it can take.
+        /// Fraction of a warm node's load that the node can handle.
         share: f64,
     },
-    /// It failed repeatedly and is not used until this time.
+    /// The node failed and receives no requests until this time.
     EjectedUntil(Micros),
-    /// It finishes what it has and accepts nothing new.
+    /// The node completes the requests in flight and accepts no new ones.
     Draining,
-    /// It is not listed any more.
+    /// The node is not in the endpoint list.
     Removed,
 }
 
-/// What the balancer asks of a front end. A front end may ignore what it does not support.
+/// Operations that the balancer requests from a front end. The default implementations do nothing; a front end
+/// overrides those that it supports.
 #[allow(unused_variables, reason = "the defaults ignore what they are asked")]
 pub trait Actions {
-    /// Sends the next attempt at a shard request. The attempts to one node of one decision share a batch.
-    /// Without a `timeout` the attempt lasts until the query's deadline.
+    /// Sends the next attempt of a shard request. All attempts sent to a node in one call of
+    /// [`decide`](crate::Events::decide) share a batch. Without a `timeout`, the attempt times out at the
+    /// query's deadline.
     fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>);
-    /// Cancels an attempt.
+    /// Cancels an attempt in flight; its end must still be reported.
     fn cancel_attempt(&mut self, attempt: AttemptId) {}
-    /// Gives the final answer. With a second step, the first `Complete` or `Partial` brings further shard
-    /// requests instead.
+    /// Answers a query. If its class has a second step, the first `Complete` or `Partial` does not end the
+    /// query: the shard requests of the second step follow.
     fn complete_query(&mut self, query: QueryId, completion: Completion);
-    /// The query has ended and none of its attempts is in flight: its identifiers may be reused.
+    /// Releases the identifiers of a query and its shard requests for reuse: the query has ended and none of
+    /// its attempts is in flight.
     fn release_query(&mut self, query: QueryId) {}
-    /// The node was removed and nothing refers to it: its identifier may be reused.
+    /// Releases the identifier of a removed node for reuse: no attempt or query refers to it.
     fn release_node(&mut self, node: NodeId) {}
-    /// Reports [`timer_expired`](crate::Events::timer_expired) with `token` after `delay`.
+    /// Starts a timer that reports [`timer_expired`](crate::Events::timer_expired) with `token` after `delay`.
     fn set_timer(&mut self, delay: Micros, token: u64) {}
-    /// Checks the health of a node.
+    /// Sends a health check to a node.
     fn check_health(&mut self, node: NodeId) {}
-    /// Closes the idle connections to a node.
+    /// Closes the idle connections to a node, so that the next attempt opens a new one.
     fn close_idle_connections(&mut self, node: NodeId) {}
-    /// Starts or ends a watch on the endpoint list.
+    /// Starts or stops watching the endpoint list.
     fn watch_endpoints(&mut self, enabled: bool) {}
     /// Fetches the full endpoint list once.
     fn poll_endpoints(&mut self) {}
-    /// Sends a gossip message to one peer, or to all.
+    /// Sends a gossip message to one peer, or to all if `peer` is `None`.
     fn send_gossip(&mut self, peer: Option<usize>, data: &[u8]) {}
-    /// Logs a change of mode.
+    /// Logs a change of the operating mode, such as discovery becoming unreachable or canary attempts being
+    /// enabled.
     fn log(&mut self, line: &str) {}
 }
--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer: what it keeps, and how events reach the decisions in [`policy`](crate::policy).
+//! The balancer's state, and the event handlers that update it. The decisions are in [`policy`](crate::policy).
 
 use crate::policy::{MAX_CONCURRENCY_LIMIT, RETAINED};
 use crate::state::{
@@ -10,31 +10,31 @@
     QueryArrival, QueryId, Settings, ShardRequestArrival,
 };
 
-/// Decides for one router, from its settings and its own events.
+/// Load balancer and admission control of one router, based on its settings and the events that it receives.
 #[derive(Default)]
 pub struct Balancer {
-    /// The settings as they were passed, from which service classes and tenants are read when first seen.
+    /// Settings as passed by the front end; the entry of a service class or tenant is read on first use.
     pub(crate) settings: Settings,
     pub(crate) deployment: DeploymentSettings,
     pub(crate) classes: Vec<ServiceClass>,
-    /// Draws the tie-breaks of nodes and the jitter of requests for the endpoint list.
+    /// Source of the tie-breakers of nodes and of the jitter of endpoint list requests.
     pub(crate) random: fastrand::Rng,
     pub(crate) nodes: NodeTable,
-    /// Which ready nodes hold a shard.
+    /// Ready nodes by shard.
     pub(crate) shards: ShardMap,
-    /// Queries that are open or have attempts in flight.
+    /// Queries that are open or still have attempts in flight.
     pub(crate) queries: QueryTable,
-    /// When the last decision began.
+    /// Time of the last call of [`decide`](Events::decide).
     pub(crate) now: Micros,
     pub(crate) statistics: FleetStatistics,
     pub(crate) admission: AdmissionState,
     pub(crate) discovery: DiscoveryState,
-    /// Retries and hedged attempts sent.
+    /// One sample for each retry or hedged attempt sent.
     pub(crate) retries: SlidingWindow,
 }
 
 impl Balancer {
-    /// A balancer that knows no nodes; `seed` determines its random draws.
+    /// Creates a balancer without nodes; `seed` initializes its random number generator.
     pub fn new(seed: u64, settings: Settings) -> Self {
         Balancer {
             shards: ShardMap::new(&settings.shards),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Grows the list of service classes to `count`.
+    /// Extends the list of service classes to at least `count`; those without settings get the defaults.
     pub(crate) fn ensure_classes(&mut self, count: usize) {
         let unlisted = ClassSettings::default();
         let missing = self.classes.len()..count;
@@ -58,7 +58,7 @@
         }));
     }
 
-    /// A node of which nothing is known.
+    /// Creates the state of a node without measurements.
     pub(crate) fn new_node(tie_break: f64) -> NodeState {
         NodeState::new(tie_break, MAX_CONCURRENCY_LIMIT, &RETAINED)
     }
--- a/crates/balancer/src/dispatch.rs
+++ b/crates/balancer/src/dispatch.rs
@@ -1,10 +1,10 @@
-//! Carries out decisions: sends and cancels attempts, ends queries, releases ids.
+//! Execution of decisions: sends and cancels attempts, ends queries and releases identifiers.
 
 use crate::state::{Assignment, InFlightAttempt};
 use crate::{Actions, Balancer, Completion, Micros, NodeId, QueryId, ShardRequestId};
 
 impl Balancer {
-    /// Sends an attempt that costs `work`, in a batch with the others that the node gets in this decision.
+    /// Sends an attempt with the estimated cost `work`, in the batch of this decision for the node.
     pub(crate) fn send(&mut self, now: Micros, assignment: Assignment, work: f64, actions: &mut dyn Actions) {
         let Assignment { shard_request, node: id } = assignment;
         let node = &mut self.nodes[id];
@@ -18,7 +18,7 @@
         actions.send_attempt(shard_request, id, None);
     }
 
-    /// Cancels the attempts at a shard request that are in flight, where that is possible.
+    /// Cancels the attempts in flight of a shard request, if the deployment supports cancellation.
     pub(crate) fn cancel_attempts(&self, id: ShardRequestId, actions: &mut dyn Actions) {
         if self.deployment.cancellation {
             for attempt in self.queries.attempts_in_flight(id, &self.nodes) {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Gives the final answer to a query and cancels its attempts in flight.
+    /// Ends a query with `completion` and cancels its attempts in flight.
     pub(crate) fn finish(
         &mut self, now: Micros, id: QueryId, completion: Completion, actions: &mut dyn Actions,
     ) {
@@ -42,7 +42,7 @@
         self.queries.close(id);
     }
 
-    /// Releases the queries and nodes that nothing refers to any more.
+    /// Releases ended queries without attempts in flight, and removed nodes that nothing refers to.
     pub(crate) fn release_unused(&mut self, actions: &mut dyn Actions) {
         for id in self.queries.release_ended() {
             actions.release_query(id);
@@ -53,7 +53,7 @@
         let unused: Vec<NodeId> =
             self.nodes.iter().filter(|&(id, node)| is_unused(id, node)).map(|(id, _)| id).collect();
         for id in unused {
-            // Should the node come back, or another one get its id, it starts clean.
+            // The identifier may be reused for this node or another one, which must start without measurements.
             self.nodes[id] = Self::new_node(self.nodes[id].tie_break);
             actions.release_node(id);
         }
--- a/crates/balancer/src/events.rs
+++ b/crates/balancer/src/events.rs
@@ -1,58 +1,59 @@
-//! What a front end reports to the balancer.
+//! Events that a front end reports to the balancer.
 
 use crate::{Actions, AttemptId, Micros, NodeId, QueryId, ShardRequestId};
 
-/// How an attempt ended.
+/// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The node answered with a value.
+    /// The node answered successfully.
     Succeeded,
     /// The node answered with an error; the attempt may have been executed.
     ServerError,
-    /// The node rejected it without executing it.
+    /// The node rejected the attempt without executing it.
     Rejected,
-    /// No answer came within the attempt's timeout; the attempt may have been executed.
+    /// No answer arrived within the attempt's timeout; the attempt may have been executed.
     TimedOut,
-    /// No connection to the node could be established, so nothing was executed.
+    /// No connection to the node could be established, so the attempt was not executed.
     ConnectFailed,
     /// The connection was lost after the request was written; the attempt may have been executed.
     ConnectionLost,
-    /// Cancelled by this router after it was sent; the attempt may have been executed.
+    /// This router cancelled the attempt after it was sent; it may have been executed.
     Cancelled,
-    /// Cancelled or lost before it was sent, so nothing was executed.
+    /// The attempt was cancelled or lost before it was sent, so it was not executed.
     NotSent,
     /// The response could not be parsed; the attempt may have been executed.
     MalformedResponse,
 }
 
 impl AttemptOutcome {
-    /// Whether the outcome proves that the attempt was never executed, so that a retry is safe in any class.
+    /// Returns whether the outcome proves that the attempt was not executed, so that a retry is safe in any
+    /// service class.
     pub fn proves_not_executed(self) -> bool {
         matches!(self, Self::Rejected | Self::ConnectFailed | Self::NotSent)
     }
 }
 
-/// What an endpoint update contains.
+/// Kind of an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointUpdate {
-    /// The endpoints that changed.
+    /// The update contains the endpoints that changed.
     Incremental,
-    /// All endpoints: one that is not named has been removed.
+    /// The update contains all endpoints; an endpoint that is missing from it has been removed.
     Full,
-    /// The endpoint list cached from before the start; it may be outdated.
+    /// The update is the endpoint list that was cached before the start of the process; it may be outdated.
     Cached,
-    /// A poll failed or the watch was lost; no endpoint follows.
+    /// A poll failed or the watch was lost; the update contains no endpoints.
     Failed,
 }
 
-/// The state of an endpoint according to discovery.
+/// State of an endpoint according to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It accepts new requests.
+    /// The endpoint accepts new requests.
     Ready,
-    /// It finishes what it has and accepts nothing new.
+    /// The endpoint completes the requests in flight and accepts no new ones.
     Draining,
-    /// It no longer exists.
+    /// The endpoint no longer exists.
     Removed,
 }
 
@@ -61,133 +62,134 @@
 pub struct Endpoint {
     /// The node at this endpoint.
     pub node: NodeId,
-    /// Index of its zone.
+    /// Index of the endpoint's zone.
     pub zone: usize,
-    /// Index of the replica set that it belongs to.
+    /// Index of the replica set that the node belongs to.
     pub replica_set: usize,
-    /// Whether it may be used.
+    /// Whether the endpoint accepts new requests.
     pub state: EndpointState,
-    /// Its size relative to others.
+    /// Size of the node relative to others; 1 is the usual size.
     pub scale: f64,
-    /// When its process started, 0 for long ago.
+    /// Start time of the node's process; 0 if it started long ago.
     pub started_at: Micros,
 }
 
-/// A query that a client has sent.
+/// A query received from a client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueryArrival {
-    /// The query.
+    /// Identifier of the query, allocated by the front end.
     pub query: QueryId,
-    /// Index of its service class.
+    /// Index of the service class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant that sent the query.
     pub tenant: usize,
-    /// The time by which it must be answered.
+    /// Time by which the query must be answered.
     pub deadline: Micros,
-    /// An estimate of the work of all its shard requests, 0 where there is none.
+    /// Estimated work of all shard requests together; 0 if there is no estimate.
     pub work: Micros,
-    /// How many shard requests follow.
+    /// Number of shard requests that are reported next.
     pub shard_requests: usize,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
 }
 
 /// One shard request of a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardRequestArrival {
-    /// The shard request.
+    /// Identifier of the shard request, allocated by the front end.
     pub shard_request: ShardRequestId,
-    /// The query that it belongs to.
+    /// The query that the shard request belongs to.
     pub query: QueryId,
-    /// Index of the shard that it asks for.
+    /// Index of the requested shard.
     pub shard: usize,
-    /// Its share of the query's answer; the weights of a query add up to 1.
+    /// Share of the query's answer; the weights of a query's shard requests add up to 1.
     pub weight: f64,
-    /// An estimate of its work, 0 where there is none.
+    /// Estimated work; 0 if there is no estimate.
     pub work: Micros,
 }
 
-/// A figure that a node reports about itself.
+/// A load measurement reported by a node about itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadMetric<'a> {
-    /// What is measured.
+    /// Name of the metric.
     pub name: &'a str,
-    /// The measured value.
+    /// Measured value, in the unit of the metric.
     pub value: f64,
 }
 
-/// The end of an attempt.
+/// End of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnd<'a> {
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The node that it was sent to.
+    /// Node that the attempt was sent to.
     pub node: NodeId,
-    /// How it ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The time since it was sent.
+    /// Time from sending to the end.
     pub latency: Micros,
-    /// The load that the node reported with it, if any.
+    /// Load metrics that the node reported with its response; empty if there are none.
     pub load: &'a [LoadMetric<'a>],
 }
 
-/// The end of a health check.
+/// End of a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthCheckEnd<'a> {
-    /// The node that was checked.
+    /// Node that was checked.
     pub node: NodeId,
-    /// How the check ended.
+    /// Outcome of the check.
     pub outcome: AttemptOutcome,
-    /// The time since it was sent.
+    /// Time from sending to the end.
     pub latency: Micros,
-    /// The load that the node reported with it, if any.
+    /// Load metrics that the node reported with its response; empty if there are none.
     pub load: &'a [LoadMetric<'a>],
 }
 
-/// What other proxies observed at a node since their last report, in sums.
+/// Totals of the requests that other proxies sent to a node since their last reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests that were answered.
+    /// Number of requests that were answered.
     pub succeeded: f64,
-    /// Requests that ended otherwise; they may have been executed.
+    /// Number of requests that failed and may have been executed.
     pub failed: f64,
-    /// Requests that were never executed because no connection could be established.
+    /// Number of requests that were not executed because no connection could be established.
     pub connect_failures: f64,
-    /// Requests in flight now.
+    /// Number of requests in flight at the time of the report.
     pub in_flight: f64,
-    /// The mean latency of those answered.
+    /// Mean latency of the answered requests.
     pub mean_latency: Micros,
 }
 
-/// What a front end reports to the balancer. Events of one instant are reported in their order, then
-/// [`decide`](Events::decide) is called once. `now` never decreases.
+/// Events that a front end reports to the balancer. Simultaneous events are reported in their order, followed
+/// by one call of [`decide`](Events::decide). `now` never decreases.
 pub trait Events {
-    /// An endpoint update begins; its endpoints follow.
+    /// An endpoint update has started; its endpoints follow.
     fn endpoint_update_started(&mut self, now: Micros, update: EndpointUpdate);
-    /// One endpoint of the update that has begun.
+    /// Reports one endpoint of the current update.
     fn endpoint_listed(&mut self, now: Micros, endpoint: &Endpoint);
-    /// The endpoint update is complete.
+    /// The current endpoint update is complete and takes effect.
     fn endpoint_update_finished(&mut self, now: Micros, actions: &mut dyn Actions);
     /// A query has arrived; its shard requests follow before the next [`decide`](Events::decide).
     fn query_arrived(&mut self, now: Micros, arrival: &QueryArrival);
-    /// A shard request of a query that has arrived.
+    /// A shard request of a reported query has arrived.
     fn shard_request_arrived(&mut self, now: Micros, arrival: &ShardRequestArrival);
     /// An attempt has ended.
     fn attempt_ended(&mut self, now: Micros, end: &AttemptEnd);
-    /// Other proxies reported what they observed at a node.
+    /// Other proxies have reported the results of their requests to a node.
     fn load_reported(&mut self, _now: Micros, _node: NodeId, _report: &LoadReport) {}
     /// The client of a query has disconnected.
     fn client_disconnected(&mut self, now: Micros, query: QueryId);
-    /// The front end ends soon: every open query must be answered by `answer_by`, if its deadline is later.
+    /// The front end is shutting down: open queries with a deadline after `answer_by` must be answered by
+    /// `answer_by`.
     fn shutdown_started(&mut self, now: Micros, answer_by: Micros);
     /// A health check has ended.
     fn health_check_ended(&mut self, _now: Micros, _end: &HealthCheckEnd) {}
     /// A timer set with [`Actions::set_timer`] has expired.
     fn timer_expired(&mut self, now: Micros, token: u64);
-    /// The response to an attempt of a streamed class has begun and is being passed to the client.
+    /// The response to an attempt of a streamed class has started and is being forwarded to the client.
     fn response_started(&mut self, _now: Micros, _attempt: AttemptId, _node: NodeId, _latency: Micros) {}
     /// Another router sent a gossip message.
     fn gossip_received(&mut self, _now: Micros, _peer: usize, _data: &[u8]) {}
-    /// Everything that happened by `now` has been reported: decide what to do.
+    /// Makes all decisions that are due; every event up to `now` has been reported.
     fn decide(&mut self, now: Micros, actions: &mut dyn Actions);
 }
--- a/crates/balancer/src/ids.rs
+++ b/crates/balancer/src/ids.rs
@@ -1,33 +1,33 @@
-//! Identifiers that a front end hands out. Each is a small index that is reused once the balancer has
-//! released it.
+//! Identifiers allocated by a front end. Each is a small index that the front end may reuse once the balancer
+//! has released it.
 
-/// A data node.
+/// Identifier of a data node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct NodeId(pub usize);
 
-/// A query in progress.
+/// Identifier of a query in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct QueryId(pub usize);
 
-/// The request of a query to one shard.
+/// Identifier of a query's request to one shard.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ShardRequestId(pub usize);
 
-/// The number of an attempt at a shard request, counted from 0.
+/// Number of an attempt of a shard request, counted from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptNumber(pub usize);
 
-/// One attempt at a shard request.
+/// Identifier of one attempt of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The shard request that is attempted.
+    /// The shard request that the attempt belongs to.
     pub shard_request: ShardRequestId,
-    /// Which attempt at it this is.
+    /// Number of the attempt among those of the shard request.
     pub number: AttemptNumber,
 }
 
 impl AttemptId {
-    /// Attempt `number` at `shard_request`.
+    /// Identifies attempt `number` of `shard_request`.
     pub fn new(shard_request: ShardRequestId, number: AttemptNumber) -> Self {
         AttemptId { shard_request, number }
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,12 +1,12 @@
-//! The decisions of the query router, without I/O.
+//! Load balancing and admission control of the query router, without I/O.
 //!
-//! A query asks for several shards. The balancer decides which data node gets each shard request, when an
-//! attempt is retried or hedged, what is rejected under load, and when the query is complete. A front end
-//! translates its protocol into calls of [`Events`] and carries out what the balancer asks for through
-//! [`Actions`].
+//! A query consists of requests to several shards. The balancer decides which data node each shard request is
+//! sent to, when an attempt is retried or hedged, which queries are rejected under load, and when a query is
+//! complete. A front end translates its protocol into calls of [`Events`] and performs the operations that the
+//! balancer requests through [`Actions`].
 //!
-//! All times are integers in microseconds. Nodes, queries and shard requests are small indices that the front
-//! end hands out.
+//! All times are integers in microseconds. Nodes, queries and shard requests are identified by small indices
+//! that the front end allocates.
 //!
 //! ```
 //! use balancer::*;
--- a/crates/balancer/src/settings.rs
+++ b/crates/balancer/src/settings.rs
@@ -1,58 +1,59 @@
-//! The settings that a front end passes to the balancer at the start.
+//! Settings that a front end passes to the balancer at startup.
 //!
-//! They also hold what the front ends themselves need to know of the deployment. A field is optional where its
-//! absence differs from any value, or where the readers differ in what they take instead.
+//! They also include the settings of the deployment that only the front ends use. A field is optional if its
+//! absence differs from every value, or if its users apply different defaults.
 
 use crate::Micros;
 
-/// Whether an attempt may be repeated.
+/// Whether an attempt that may have been executed may be repeated.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Repeating it changes nothing.
+    /// Executing an attempt again has no additional effect.
     Idempotent,
-    /// A repeat within a window is recognized by its key.
+    /// Nodes detect duplicates by an idempotency key within a time window.
     Keyed,
-    /// Repeating it may execute it twice.
+    /// A repeated attempt may be executed twice.
     #[default]
     NonIdempotent,
 }
 
-/// How changes of the endpoint list become known.
+/// How the router learns of changes to the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Discovery sends them.
+    /// Discovery sends changes to the router.
     #[default]
     Pushed,
-    /// They must be asked for.
+    /// The router requests the list periodically.
     Polled,
 }
 
-/// The settings of a service class.
+/// Settings of a service class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassSettings {
-    /// Its name, empty if it has none.
+    /// Name of the class; empty if it has none.
     pub name: String,
-    /// Whether an attempt may be repeated.
+    /// Whether an attempt that may have been executed may be repeated.
     pub idempotency: Idempotency,
-    /// How long a repeat is recognized by its key, in microseconds.
+    /// Time for which nodes detect duplicates by the idempotency key, in microseconds.
     pub idempotency_window: Micros,
-    /// How soon after its arrival a query should be answered, in microseconds; by its deadline if absent.
+    /// Time within which a query should be answered, from its arrival, in microseconds; `None` means by the
+    /// deadline.
     pub latency_objective: Option<Micros>,
-    /// How much longer than that a query may take for each unit of its estimated work.
+    /// Extension of the latency objective, as a multiple of the query's estimated work.
     pub latency_objective_stretch: f64,
-    /// How soon after its arrival a query must be answered, in microseconds.
+    /// Time within which a query must be answered, from its arrival, in microseconds.
     pub deadline: Micros,
-    /// What an answer after the latency objective is worth, relative to one before.
+    /// Value of an answer after the latency objective, relative to one before it.
     pub late_value: f64,
-    /// What a partial answer is worth, relative to a complete one.
+    /// Value of a partial answer, relative to a complete one.
     pub partial_value: f64,
-    /// The weight of shards that makes an answer complete.
+    /// Minimum total weight of the answered shards for a complete answer.
     pub completeness_required: f64,
-    /// The weight of shards that makes an answer at least partial.
+    /// Minimum total weight of the answered shards for a partial answer.
     pub completeness_minimum: f64,
-    /// What a query counts for relative to others.
+    /// Importance of a query relative to those of other classes, used to order the admission queue.
     pub priority_weight: f64,
-    /// Whether a query has a second step of shard requests that follow the first answer.
+    /// Whether a query has a second step, whose shard requests arrive after the answer to the first.
     pub second_step: bool,
 }
 
@@ -76,96 +77,96 @@
 }
 
 impl ClassSettings {
-    /// The latency objective, or the deadline where there is none, in microseconds.
+    /// Returns the latency objective in microseconds, or the deadline if there is none.
     pub fn latency_objective_or_deadline(&self) -> Micros {
         self.latency_objective.unwrap_or(self.deadline)
     }
 }
 
-/// The settings of a tenant.
+/// Settings of a tenant.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct TenantSettings {
-    /// Its name, empty if it has none.
+    /// Name of the tenant; empty if it has none.
     pub name: String,
-    /// How many queries a second it may send to all routers together; `None` if they are not limited.
+    /// Maximum rate of queries to all routers together, per second; `None` if the rate is not limited.
     pub quota_per_second: Option<f64>,
 }
 
-/// How shards are assigned to data nodes.
+/// Assignment of shards to data nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ShardSettings {
-    /// The number of shards.
+    /// Number of shards.
     pub count: Option<usize>,
-    /// The number of replica sets into which data nodes are divided.
+    /// Number of replica sets into which the data nodes are divided.
     pub replica_sets: Option<usize>,
-    /// How many consecutive replica sets hold a shard.
+    /// Number of consecutive replica sets that hold each shard.
     pub replica_sets_per_shard: Option<usize>,
 }
 
 impl ShardSettings {
-    /// The number of replica sets, at least 1.
+    /// Returns the number of replica sets, at least 1.
     pub fn replica_sets_or_one(&self) -> usize {
         self.replica_sets.unwrap_or(1).max(1)
     }
 
-    /// How many replica sets hold a shard: at least 1, at most all.
+    /// Returns the number of replica sets that hold each shard: at least 1, at most all.
     pub fn replica_sets_per_shard_or_one(&self) -> usize {
         self.replica_sets_per_shard.unwrap_or(1).max(1).min(self.replica_sets_or_one())
     }
 }
 
-/// The settings of batches of shard requests.
+/// Settings of batches of shard requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BatchSettings {
-    /// The largest number of shard requests in a batch.
+    /// Maximum number of shard requests in a batch.
     pub max_shard_requests: Option<usize>,
-    /// The fixed work of a batch, in microseconds.
+    /// Work of a batch in addition to that of its shard requests, in microseconds.
     pub work: Micros,
 }
 
-/// What the deployment limits or allows.
+/// Limits and optional features of the deployment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LimitSettings {
-    /// The largest number of attempts at a shard request.
+    /// Maximum number of attempts of a shard request.
     pub max_attempts: Option<usize>,
     /// Whether hedged attempts are allowed.
     pub hedging: bool,
     /// Whether attempts can be cancelled.
     pub cancellation: bool,
-    /// Whether a rejected client is told how long to wait.
+    /// Whether a rejection can carry a recommended delay before the client's retry.
     pub retry_after: bool,
-    /// The longest such wait that clients heed, in microseconds.
+    /// Longest retry delay that clients respect, in microseconds.
     pub max_retry_after: Micros,
-    /// How long a connection may take to be established, in microseconds.
+    /// Timeout for establishing a connection, in microseconds.
     pub connect_timeout: Option<Micros>,
-    /// After how long a data node closes an idle connection, in microseconds.
+    /// Time after which a data node closes an idle connection, in microseconds.
     pub idle_timeout: Micros,
-    /// The most shard requests queued or in flight on one connection.
+    /// Maximum number of shard requests queued or in flight on one connection.
     pub max_requests_per_connection: usize,
-    /// The most queries and shard requests that a router may hold.
+    /// Maximum number of queries and shard requests in progress in a router.
     pub max_in_flight: Option<usize>,
 }
 
-/// The rules that a router follows.
+/// Rules of the deployment that a router must comply with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSettings {
-    /// The longest time between two polls of the endpoint list, in microseconds.
+    /// Maximum time between two polls of the endpoint list, in microseconds.
     pub poll_within: Micros,
-    /// How long after the notice of a drain a node may still be used, in microseconds.
+    /// Time for which a node may still receive requests after discovery lists it as draining, in microseconds.
     pub drain_grace: Micros,
-    /// The window of the limit on retries, in microseconds.
+    /// Time window of the retry budget, in microseconds.
     pub retry_window: Micros,
-    /// Retries allowed for each arrival; `None` if retries are not limited.
+    /// Number of retries allowed per query and shard request that arrives; `None` if retries are not limited.
     pub retry_share: Option<f64>,
-    /// Retries allowed in any case within a window.
+    /// Number of retries that are always allowed within a window.
     pub free_retries: f64,
-    /// The window of the limit on work for a node that is warming up, in microseconds.
+    /// Time window of the limit on the work sent to a node that is warming up, in microseconds.
     pub cold_overload_window: Micros,
-    /// What such a node may be sent in a window, as a multiple of its capacity.
+    /// Maximum work sent to such a node in a window, as a multiple of its capacity.
     pub cold_overload_multiple: f64,
-    /// The capacity of a node that has just started, as a share of a warm node's.
+    /// Capacity of a node that has just started, as a fraction of a warm node's.
     pub cold_capacity_share: f64,
-    /// How long a node takes to warm up, in microseconds.
+    /// Duration of a node's warm-up, in microseconds.
     pub warm_up: Micros,
 }
 
@@ -185,34 +186,35 @@
     }
 }
 
-/// The settings of a deployment; by default nothing is limited and nothing is enabled.
+/// Settings of a deployment; by default there are no limits and all optional features are disabled.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The names of the zones.
+    /// Names of the zones; other settings and endpoints refer to zones by index.
     pub zones: Vec<String>,
-    /// The zone of this router, as an index.
+    /// Index of this router's zone.
     pub zone: usize,
-    /// How many routers there are, at least 1.
+    /// Number of routers in the deployment, at least 1.
     pub routers: f64,
-    /// How often the balancer decides, in microseconds.
+    /// Interval at which the balancer makes decisions, in microseconds.
     pub decision_interval: Micros,
-    /// Whether the priority weight counts by work instead of by shard request.
+    /// Whether a class's priority weight applies to a whole query instead of being divided by its number of
+    /// shard requests.
     pub priority_by_work: bool,
-    /// The service classes, by index.
+    /// Service classes, by index.
     pub classes: Vec<ClassSettings>,
-    /// The tenants, by index.
+    /// Tenants, by index.
     pub tenants: Vec<TenantSettings>,
-    /// How shards are assigned to data nodes.
+    /// Assignment of shards to data nodes.
     pub shards: ShardSettings,
-    /// The settings of batches.
+    /// Settings of batches of shard requests.
     pub batch: BatchSettings,
-    /// What the deployment limits or allows.
+    /// Limits and optional features of the deployment.
     pub limits: LimitSettings,
-    /// The rules that a router follows.
+    /// Rules of the deployment that a router must comply with.
     pub rules: RuleSettings,
-    /// How changes of the endpoint list become known.
+    /// How the router learns of changes to the endpoint list.
     pub discovery_mode: DiscoveryMode,
-    /// Whether data nodes report their load in answers to health checks.
+    /// Whether data nodes report their load in their responses to health checks.
     pub load_by_health_checks: bool,
 }
 
@@ -237,12 +239,12 @@
 }
 
 impl Settings {
-    /// The service classes that can be asked for by name: those before the first without a name.
+    /// Returns the service classes that clients can select by name: those before the first without a name.
     pub fn named_classes(&self) -> impl Iterator<Item = &ClassSettings> {
         self.classes.iter().take_while(|class| !class.name.is_empty())
     }
 
-    /// The tenants that can be stated by name: those before the first without a name.
+    /// Returns the tenants that clients can specify by name: those before the first without a name.
     pub fn named_tenants(&self) -> impl Iterator<Item = &TenantSettings> {
         self.tenants.iter().take_while(|tenant| !tenant.name.is_empty())
     }
--- a/crates/balancer/src/state/admission_state.rs
+++ b/crates/balancer/src/state/admission_state.rs
@@ -1,4 +1,4 @@
-//! What admission keeps between decisions.
+//! Admission state that is kept between decisions.
 
 use super::candidate::Choice;
 use super::query::QueryFingerprint;
@@ -6,47 +6,47 @@
 use super::sliding_window::SlidingWindow;
 use crate::{Micros, TenantSettings};
 
-/// What a tenant asks, and what it may ask.
+/// Query rate and quota of a tenant.
 pub struct TenantUsage {
-    /// Its queries.
+    /// One sample for each query that arrived.
     pub arrivals: SlidingWindow,
-    /// How many queries a second it may send to all routers together.
+    /// Maximum rate of queries to all routers together, per second; infinite if the rate is not limited.
     pub quota_per_second: f64,
 }
 
-/// A query under which several nodes crashed.
+/// A query during which several nodes crashed.
 #[derive(Clone, Copy, Debug)]
 pub struct PoisonQuery {
-    /// When it ended.
+    /// Time at which the query was ended.
     pub ended_at: Micros,
-    /// What its retries have in common with it.
+    /// Identifies later retries of the query.
     pub fingerprint: QueryFingerprint,
 }
 
-/// What admission keeps between decisions.
+/// Admission state that is kept between decisions.
 #[derive(Default)]
 pub struct AdmissionState {
-    /// By tenant, what it asks.
+    /// Tenants, by index.
     pub tenants: Vec<TenantUsage>,
-    /// Queries and shard requests that arrived.
+    /// One sample for each query and shard request that arrived.
     pub arrivals: SlidingWindow,
-    /// By node, the places that are kept for waiting queries in this decision.
+    /// Number of shard requests for which capacity is reserved in this decision, by node.
     pub reservations: Vec<usize>,
-    /// For each attempt that was answered, or rejected as another was before, 1 if it was rejected and 0 if
-    /// not.
+    /// Share of rejected attempts, as samples of 1 for a rejection and 0 for an answer. The first rejection of
+    /// a shard request counts only together with a second one.
     pub rejections: SlidingWindow,
-    /// Until when new queries of more than one batch wait because attempts are rejected.
+    /// Time until which pacing delays new queries of more than one batch because attempts are rejected.
     pub paced_until: Micros,
-    /// Nodes that crashed.
+    /// One sample for each crash of a node.
     pub crashes: SlidingWindow,
-    /// Whether so many nodes crashed that a canary attempt goes ahead of each query.
+    /// Whether a canary attempt is sent ahead of each query because many nodes crashed recently.
     pub canary_mode: bool,
-    /// Queries under which several nodes crashed.
+    /// Recent queries during which several nodes crashed.
     pub poison_queries: Vec<PoisonQuery>,
 }
 
 impl AdmissionState {
-    /// Without measurements.
+    /// Creates the state without measurements.
     pub fn new(retained: &SamplesRetained) -> Self {
         AdmissionState {
             arrivals: SlidingWindow::new(retained.arrivals),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Counts a query of a tenant, whose quota is read when it is first seen.
+    /// Counts a query of a tenant and returns the tenant's usage; reads the tenant's quota on its first query.
     pub fn count_query(
         &mut self, now: Micros, tenant: usize, settings: &[TenantSettings], retained: &SamplesRetained,
     ) -> &TenantUsage {
@@ -73,19 +73,19 @@
         usage
     }
 
-    /// Reserves a place at each node that was chosen.
+    /// Reserves capacity for one shard request at each chosen node.
     pub fn reserve(&mut self, choices: &[Choice]) {
         for choice in choices {
             self.reservations[choice.node.0] += 1;
         }
     }
 
-    /// Whether several nodes crashed after `since` under a query with this fingerprint.
+    /// Returns whether several nodes crashed during a query with this fingerprint that ended after `since`.
     pub fn is_poison_query(&self, fingerprint: QueryFingerprint, since: Micros) -> bool {
         self.poison_queries.iter().any(|poison| poison.ended_at > since && poison.fingerprint == fingerprint)
     }
 
-    /// Remembers a query under which several nodes crashed, and forgets those until `since`.
+    /// Records a query during which several nodes crashed, and removes those that ended at `since` or earlier.
     pub fn record_poison_query(&mut self, now: Micros, fingerprint: QueryFingerprint, since: Micros) {
         self.poison_queries.retain(|poison| poison.ended_at > since);
         self.poison_queries.push(PoisonQuery { ended_at: now, fingerprint });
--- a/crates/balancer/src/state/candidate.rs
+++ b/crates/balancer/src/state/candidate.rs
@@ -1,53 +1,54 @@
-//! The nodes among which one is selected for a shard request.
+//! Candidate nodes for a shard request.
 
 use crate::NodeId;
 
-/// How much a node is preferred, the least first.
+/// Preference for a node, in ascending order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Preference {
-    /// It is ejected or rejects attempts.
+    /// The node is ejected or in the backoff after a rejection.
     Unavailable,
-    /// An attempt is late there, or it is suspect and being tried.
+    /// The node has a late attempt, is suspect with attempts in flight, or fails too often for a non-idempotent
+    /// class.
     Degraded,
-    /// Nothing is late, but it would take much longer than the best.
+    /// None of the above applies, but the node's estimated latency is much higher than the lowest. Also the
+    /// value of all such nodes before their latencies are compared.
     Healthy,
-    /// It takes about as long as the best.
+    /// The node's estimated latency is close to the lowest.
     Fast,
-    /// It takes about as long as the best and is in the router's zone.
+    /// The node's estimated latency is close to the lowest, and the node is in the router's zone.
     Local,
 }
 
-/// Whether the concurrency limit of a node counts.
+/// Whether selection respects the concurrency limits of nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LimitCheck {
-    /// A node at its limit is not selected.
+    /// Nodes at their concurrency limit are not selected.
     Enforced,
-    /// The limit does not count.
+    /// Nodes are selected regardless of their concurrency limit.
     Ignored,
 }
 
-/// A node that holds a shard.
+/// A node that holds the requested shard.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// The node.
     pub node: NodeId,
-    /// How much it is preferred by itself.
+    /// Preference for the node before the comparison with other candidates.
     pub preference: Preference,
-    /// The time it would take for one more shard request, relative to other candidates.
+    /// Estimated latency of one more shard request, including the wait for those in flight. Only comparable
+    /// among the candidates of one shard request: it has no unit while no latency is known.
     pub estimated_latency: f64,
 }
 
-/// The node that was selected for a shard request.
+/// The node selected for a shard request.
 #[derive(Clone, Copy, Debug)]
 pub struct Choice {
-    /// The node.
     pub node: NodeId,
-    /// How much it is preferred among the candidates.
+    /// Preference for the node compared with the other candidates.
     pub preference: Preference,
 }
 
 impl Choice {
-    /// Whether the node may be used at all.
+    /// Returns whether the node may receive requests.
     pub fn is_usable(&self) -> bool {
         self.preference >= Preference::Degraded
     }
--- a/crates/balancer/src/state/deployment_settings.rs
+++ b/crates/balancer/src/state/deployment_settings.rs
@@ -1,64 +1,64 @@
-//! The settings of the site, read once at the start.
+//! Settings of the deployment in the form that the policy uses, with defaults applied.
 
 use crate::{DiscoveryMode, Micros, Settings};
 
-/// How much more work than it can take a node that is warming up may be sent in a window.
+/// Limit on the work sent to a node that is warming up; may exceed the node's capacity.
 #[derive(Clone, Copy, Default)]
 pub struct ColdOverloadRule {
-    /// The window.
     pub window: Micros,
-    /// What may be sent in a window, as a multiple of the node's capacity.
+    /// Maximum work sent in a window, as a multiple of the node's capacity.
     pub multiple: f64,
-    /// The capacity of a node that has just started, as a share of a warm node's.
+    /// Capacity of a node that has just started, as a fraction of a warm node's.
     pub initial_capacity_share: f64,
-    /// How long a node takes to warm up.
+    /// Duration of a node's warm-up.
     pub warm_up: Micros,
 }
 
-/// How many retries and hedged attempts are allowed in a window.
+/// Limit on the retries and hedged attempts in a window.
 #[derive(Clone, Copy)]
 pub struct RetryBudget {
-    /// The window.
     pub window: Micros,
-    /// How many are always allowed.
+    /// Number of retries that are always allowed.
     pub min_retries: f64,
-    /// How many are allowed for each query and shard request that arrives.
+    /// Number of retries allowed in addition, per query and shard request that arrives.
     pub retry_share: f64,
 }
 
-/// The settings of the site.
+/// Settings of the deployment.
 #[derive(Default)]
 pub struct DeploymentSettings {
-    /// The zone of this router.
+    /// Index of this router's zone.
     pub zone: usize,
-    /// How many routers there are.
+    /// Number of routers in the deployment.
     pub routers: f64,
-    /// How often the balancer decides.
+    /// Interval at which the balancer makes decisions.
     pub decision_interval: Micros,
-    /// The largest number of shard requests in a batch.
+    /// Maximum number of shard requests in a batch.
     pub max_batch: usize,
-    /// The fixed work of a batch.
+    /// Work of a batch in addition to that of its shard requests.
     pub batch_work: f64,
-    /// The largest number of attempts at a shard request.
+    /// Maximum number of attempts of a shard request.
     pub max_attempts: usize,
     /// Whether hedged attempts are allowed.
     pub hedging: bool,
     /// Whether attempts can be cancelled.
     pub cancellation: bool,
-    /// Whether the priority weight counts by work instead of by shard request.
+    /// Whether a class's priority weight applies to a whole query instead of being divided by its number of
+    /// shard requests.
     pub priority_by_work: bool,
-    /// The longest wait that clients heed when they are rejected, where they are told one.
+    /// Longest retry delay that clients respect; `None` if rejections carry no retry delay.
     pub max_retry_after: Option<Micros>,
-    /// The longest time between two polls, where the endpoint list must be polled.
+    /// Maximum time between two polls of the endpoint list; `None` if discovery pushes changes.
     pub poll_interval: Option<Micros>,
-    /// The limit on work for nodes that are warming up.
+    /// Limit on the work sent to nodes that are warming up.
     pub cold_overload: ColdOverloadRule,
-    /// The limit on retries and hedged attempts, where there is one.
+    /// Limit on retries and hedged attempts; `None` if they are not limited.
     pub retry_budget: Option<RetryBudget>,
 }
 
 impl DeploymentSettings {
-    /// What the balancer takes where settings are absent: one attempt, and batches of one shard request.
+    /// Applies the defaults to absent settings: one attempt per shard request, and batches of one shard
+    /// request.
     pub fn new(settings: &Settings) -> Self {
         let Settings { batch, limits, rules, .. } = settings;
         let polled = settings.discovery_mode == DiscoveryMode::Polled;
--- a/crates/balancer/src/state/discovery_state.rs
+++ b/crates/balancer/src/state/discovery_state.rs
@@ -1,26 +1,28 @@
-//! The state of endpoint discovery and of the timer.
+//! State of endpoint discovery and of the decision timer.
 
 use crate::{EndpointUpdate, Micros};
 
-/// The state of endpoint discovery and of the timer.
+/// State of endpoint discovery and of the decision timer.
 #[derive(Default)]
 pub struct DiscoveryState {
-    /// The endpoint update that has begun.
+    /// Kind of the endpoint update in progress, if there is one.
     pub update: Option<EndpointUpdate>,
-    /// The number of the last endpoint update.
+    /// Sequence number of the last endpoint update.
     pub update_number: u64,
-    /// Whether endpoint updates arrive by themselves.
+    /// Whether the watch on the endpoint list is active: an update has arrived since the last failure. The list
+    /// is requested only while the watch is not active.
     pub watching: bool,
-    /// When the endpoint list may be requested next.
+    /// Earliest time of the next request for the endpoint list.
     pub next_request_at: Micros,
-    /// Failed requests since the last that succeeded, up to a limit.
+    /// Number of failed updates since the last successful one, up to a maximum that limits the delay of
+    /// requests.
     pub failures: u32,
-    /// When the timer expires, if it is set.
+    /// Expiry time of the timer, if it is set.
     pub timer_at: Option<Micros>,
 }
 
 impl DiscoveryState {
-    /// Notes an endpoint update; returns whether it is the first one after failures.
+    /// Records a successful endpoint update; returns whether it is the first one after failures.
     pub fn record_update(&mut self) -> bool {
         let recovered = !self.watching && self.failures > 0;
         self.watching = true;
--- a/crates/balancer/src/state/mod.rs
+++ b/crates/balancer/src/state/mod.rs
@@ -1,4 +1,5 @@
-//! What the balancer keeps between decisions. No decision is taken and no value is tuned here.
+//! State that the balancer keeps between decisions. The decisions and all tuned values are in
+//! [`policy`](crate::policy).
 
 mod admission_state;
 mod candidate;
--- a/crates/balancer/src/state/node.rs
+++ b/crates/balancer/src/state/node.rs
@@ -1,115 +1,117 @@
-//! What this router knows of a data node.
+//! State of a data node as observed by this router.
 
 use super::samples_retained::SamplesRetained;
 use super::sliding_window::SlidingWindow;
 use crate::{AttemptNumber, Endpoint, EndpointState, Micros, ShardRequestId};
 
-/// An attempt that has been sent and has not ended.
+/// An attempt in flight.
 #[derive(Clone, Debug)]
 pub struct InFlightAttempt {
-    /// The shard request.
     pub shard_request: ShardRequestId,
-    /// Which attempt at it this is.
+    /// Number of the attempt among those of the shard request.
     pub number: AttemptNumber,
-    /// When it was sent.
     pub sent_at: Micros,
-    /// How long the node had not been heard from by then.
+    /// Time since the node's last activity when the attempt was sent.
     pub idle_time: Micros,
 }
 
-/// What attempts of one service class showed of a node.
+/// Health of a node for one service class.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClassHealth {
-    /// Failures that have not been made up for by answers.
+    /// Score of recent failures: each ejection adds 1, up to a maximum, and each answer halves it. Determines
+    /// the duration of the next ejection.
     pub failure_score: u32,
-    /// Until when the node is not used for this class.
+    /// Time until which the node is ejected for this class; 0 if it never was.
     pub ejected_until: Micros,
-    /// When it last answered.
+    /// Time of the last answered attempt; 0 if there was none.
     pub last_success_at: Micros,
 }
 
-/// The load of a node according to other proxies.
+/// Load of a node as reported by other proxies.
 #[derive(Clone, Copy, Debug)]
 pub struct ReportedLoad {
-    /// When it was reported.
     pub reported_at: Micros,
-    /// Requests in flight there.
+    /// Number of requests in flight at the node.
     pub in_flight: f64,
 }
 
-/// The state of a node that is warming up.
+/// Slow-start state of a node that is warming up.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Since when it has been warming up.
+    /// Start of the warm-up.
     pub since: Micros,
-    /// The share of a core's work that it may be sent in a window that ends now.
+    /// Work that the node may receive in a window ending now, as a fraction of the window's length; based on
+    /// the node's capacity at the beginning of the window.
     pub share: f64,
-    /// The share by the capacity that it has now.
+    /// The same fraction, based on the node's current capacity.
     pub current_share: f64,
-    /// What shows that it is warming up.
+    /// Why the node is considered to be warming up.
     pub reason: WarmUpReason,
 }
 
-/// What shows that a node is warming up.
+/// Reason why a node is considered to be warming up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WarmUpReason {
-    /// The endpoint list names its start.
+    /// The endpoint list states a recent start time.
     RecentStart,
-    /// It could not be reached: it may have restarted.
+    /// The node could not be connected to and may have restarted.
     ConnectFailure,
 }
 
-/// What this router knows of a data node.
+/// State of a data node as observed by this router.
 #[derive(Clone, Debug)]
 pub struct NodeState {
-    /// A random number between 0 and 1 that is drawn once, so that routers differ.
+    /// Random number between 0 and 1, drawn once per node, so that routers order equal nodes differently.
     pub tie_break: f64,
-    /// Its state according to discovery, if it was ever listed.
+    /// State according to discovery; `None` if the node was never listed.
     pub state: Option<EndpointState>,
-    /// The number of the last endpoint update that named it.
+    /// Sequence number of the last endpoint update that contained the node.
     pub last_update_number: u64,
-    /// Index of its zone.
+    /// Index of the node's zone.
     pub zone: usize,
-    /// Index of its replica set.
+    /// Index of the node's replica set.
     pub replica_set: usize,
-    /// When its process started, 0 for long ago.
+    /// Start time of the node's process; 0 if it started long ago.
     pub started_at: Micros,
-    /// The sequence number of its last batch: the least recently used node has the lowest.
+    /// Sequence number of the last batch sent to the node: the least recently used node has the lowest.
     pub last_batch_number: u64,
-    /// How many shard requests of this router may be in flight there.
+    /// Maximum number of shard requests of this router in flight at the node.
     pub concurrency_limit: f64,
-    /// When the limit was last reduced.
+    /// Time of the last reduction of the concurrency limit; 0 if it was never reduced.
     pub limit_reduced_at: Micros,
-    /// Until when it is not used while its limit is under one batch.
+    /// Time until which the node receives no attempts while its concurrency limit is below one batch.
     pub paused_until: Micros,
-    /// Whether the last attempt filled it to its limit.
+    /// Whether the last attempt reached the concurrency limit.
     pub reached_limit: bool,
-    /// Attempts in flight, the oldest first.
+    /// Attempts in flight, oldest first.
     pub in_flight: Vec<InFlightAttempt>,
-    /// Latencies of attempts that were answered, or lower bounds of those that were not.
+    /// Latencies of answered attempts, and lower bounds for unanswered ones.
     pub latencies: SlidingWindow,
-    /// For each attempt that may have been executed, 0 if it was answered and 1 if not.
+    /// Failure rate, as samples of 0 for an answered attempt and 1 for an unanswered one that may have been
+    /// executed.
     pub failures: SlidingWindow,
-    /// Work sent.
+    /// Work sent, one sample for each attempt.
     pub work_sent: SlidingWindow,
-    /// What attempts showed, by service class.
+    /// Health by service class; a class without attempts may be missing.
     pub health_by_class: Vec<ClassHealth>,
-    /// When it was last heard from, or its idle connections were closed.
+    /// Time of the node's last answer, or of closing the idle connections to it; `Micros::MAX` before the
+    /// first.
     pub last_activity_at: Micros,
-    /// When a response was malformed or a connection was lost, 0 once it has answered since.
+    /// Time of the last malformed response or lost connection; 0 if the node has answered since.
     pub suspect_since: Micros,
-    /// When it could last not be connected to, 0 once it has answered as a warm node does.
+    /// Time of the last connection failure; 0 if the node has since answered as fast as a warm node.
     pub last_connect_failure_at: Micros,
-    /// Rejections since its last answer.
+    /// Number of rejections since the last answer, up to a maximum. Rejections during the backoff after an
+    /// earlier one do not count.
     pub consecutive_rejections: u32,
-    /// Until when it is not used because it rejected an attempt.
+    /// Time until which the node receives no attempts after it rejected one.
     pub rejection_backoff_until: Micros,
-    /// The last load report.
+    /// Last load report; `None` if there was none.
     pub reported_load: Option<ReportedLoad>,
 }
 
 impl NodeState {
-    /// A node of which nothing is known.
+    /// Creates the state of a node without measurements.
     pub fn new(tie_break: f64, concurrency_limit: f64, retained: &SamplesRetained) -> Self {
         NodeState {
             tie_break,
@@ -137,27 +139,27 @@
         }
     }
 
-    /// Whether it was listed and still exists.
+    /// Returns whether the node is in the endpoint list.
     pub fn is_listed(&self) -> bool {
         self.state.is_some() && !self.is_removed()
     }
 
-    /// Whether it accepts new requests.
+    /// Returns whether the node accepts new requests.
     pub fn is_ready(&self) -> bool {
         self.state == Some(EndpointState::Ready)
     }
 
-    /// Whether it was listed and no longer exists.
+    /// Returns whether the node was removed from the endpoint list.
     pub fn is_removed(&self) -> bool {
         self.state == Some(EndpointState::Removed)
     }
 
-    /// What attempts of `class` showed.
+    /// Returns the health for `class`.
     pub fn class_health(&self, class: usize) -> ClassHealth {
         self.health_by_class.get(class).copied().unwrap_or_default()
     }
 
-    /// What attempts of `class` showed, to be changed.
+    /// Returns the health for `class` for modification, and adds it if it is missing.
     pub fn class_health_mut(&mut self, class: usize) -> &mut ClassHealth {
         if self.health_by_class.len() <= class {
             self.health_by_class.resize(class + 1, ClassHealth::default());
@@ -165,17 +167,17 @@
         &mut self.health_by_class[class]
     }
 
-    /// Whether an error occurred that no answer has made up for since.
+    /// Returns whether errors occurred that later answers have not outweighed.
     pub fn is_suspect(&self, class: usize) -> bool {
         self.suspect_since > 0 || self.class_health(class).failure_score > 0
     }
 
-    /// Whether it rejected an attempt, not to be used again until after `from`, and has not answered since.
+    /// Returns whether the node has not answered since a rejection whose backoff ends after `from`.
     pub fn has_rejected_since(&self, from: Micros) -> bool {
         self.consecutive_rejections > 0 && self.rejection_backoff_until > from
     }
 
-    /// Notes an answer, which clears suspicion.
+    /// Records an answer, which ends the backoff after rejections and the suspicion after lost connections.
     pub fn record_answer(&mut self, now: Micros, class: usize, latency: Micros) {
         self.class_health_mut(class).last_success_at = now;
         self.consecutive_rejections = 0;
@@ -185,22 +187,23 @@
         self.latencies.push(now, latency as f64);
     }
 
-    /// The share of the attempts since `from` that may have been executed and were not answered.
+    /// Returns the fraction of the attempts since `from` that failed and may have been executed.
     pub fn failure_share(&self, from: Micros) -> f64 {
         self.failures.sum(from) / self.failures.count(from).max(1) as f64
     }
 
-    /// Notes how many requests other proxies have in flight there.
+    /// Records the number of requests that other proxies have in flight at the node.
     pub fn record_load_report(&mut self, now: Micros, in_flight: f64) {
         self.reported_load = Some(ReportedLoad { reported_at: now, in_flight });
     }
 
-    /// The requests that other proxies had in flight there, by a report after `from`.
+    /// Returns the number of requests that other proxies have in flight, or 0 if the last report is not after
+    /// `from`.
     pub fn reported_in_flight(&self, from: Micros) -> f64 {
         self.reported_load.filter(|load| load.reported_at > from).map_or(0.0, |load| load.in_flight)
     }
 
-    /// Notes what endpoint update number `update` says of it.
+    /// Applies the node's entry in the endpoint update with sequence number `update`.
     pub fn apply_update(&mut self, endpoint: &Endpoint, update: u64) {
         self.zone = endpoint.zone;
         self.replica_set = endpoint.replica_set;
@@ -208,12 +211,12 @@
         self.last_update_number = update;
     }
 
-    /// Notes that a full update does not name it.
+    /// Marks the node as removed, if it was ever listed.
     pub fn mark_removed(&mut self) {
         self.state = self.state.map(|_| EndpointState::Removed);
     }
 
-    /// Notes a new process, and forgets what was seen of the one before.
+    /// Records the start of a new process and discards the latencies and failures of the previous one.
     pub fn record_restart(&mut self, started_at: Micros) {
         self.started_at = started_at;
         self.health_by_class.clear();
@@ -222,24 +225,24 @@
         self.suspect_since = 0;
     }
 
-    /// Removes an attempt from those in flight.
+    /// Removes an attempt from those in flight; returns `None` if it is not among them.
     pub fn remove_in_flight(
         &mut self, shard_request: ShardRequestId, number: AttemptNumber,
     ) -> Option<InFlightAttempt> {
-        let is_it =
+        let is_requested =
             |attempt: &InFlightAttempt| attempt.shard_request == shard_request && attempt.number == number;
-        let index = self.in_flight.iter().position(is_it)?;
+        let index = self.in_flight.iter().position(is_requested)?;
         Some(self.in_flight.remove(index))
     }
 
-    /// Whether an attempt is in flight.
+    /// Returns whether an attempt is in flight at the node.
     pub fn has_in_flight(&self, shard_request: ShardRequestId, number: AttemptNumber) -> bool {
         self.in_flight
             .iter()
             .any(|attempt| attempt.shard_request == shard_request && attempt.number == number)
     }
 
-    /// When the oldest attempt in flight was sent.
+    /// Returns the time at which the oldest attempt in flight was sent.
     pub fn oldest_sent_at(&self) -> Option<Micros> {
         self.in_flight.iter().map(|attempt| attempt.sent_at).min()
     }
--- a/crates/balancer/src/state/node_table.rs
+++ b/crates/balancer/src/state/node_table.rs
@@ -1,39 +1,39 @@
-//! The nodes by their ids.
+//! Nodes, indexed by their identifiers.
 
 use super::node::NodeState;
 use crate::NodeId;
 use std::ops::{Index, IndexMut};
 
-/// The nodes by their ids.
+/// Nodes, indexed by their identifiers.
 #[derive(Default)]
 pub struct NodeTable {
     nodes: Vec<NodeState>,
 }
 
 impl NodeTable {
-    /// The number of ids in use, with gaps.
+    /// Returns the size of the table, including unused identifiers.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
 
-    /// The node with this id, if there is one.
+    /// Returns the node with this identifier, if the table is large enough.
     pub fn get(&self, id: NodeId) -> Option<&NodeState> {
         self.nodes.get(id.0)
     }
 
-    /// All nodes, by id.
+    /// Iterates over all nodes in the order of their identifiers.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &NodeState)> {
         self.nodes.iter().enumerate().map(|(index, node)| (NodeId(index), node))
     }
 
-    /// Grows the table to hold `id`; `create` makes each new node.
+    /// Extends the table to include `id`, with nodes created by `create`.
     pub fn ensure(&mut self, id: NodeId, create: impl FnMut() -> NodeState) {
         if self.nodes.len() <= id.0 {
             self.nodes.resize_with(id.0 + 1, create);
         }
     }
 
-    /// Marks the nodes as removed that endpoint update number `update` did not name.
+    /// Marks the nodes as removed that are missing from the endpoint update with sequence number `update`.
     pub fn remove_unlisted(&mut self, update: u64) {
         for node in &mut self.nodes {
             if node.last_update_number != update {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Forgets all nodes.
+    /// Removes all nodes.
     #[cfg(test)]
     pub fn clear(&mut self) {
         self.nodes.clear();
--- a/crates/balancer/src/state/observation.rs
+++ b/crates/balancer/src/state/observation.rs
@@ -1,25 +1,23 @@
-//! Evidence about a node.
+//! Observations of a node.
 
 use crate::{AttemptOutcome, Micros, NodeId};
 
-/// What an attempt, or a load report, shows of a node.
+/// Outcome of an attempt, or the prevailing outcome in a load report.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// The node.
     pub node: NodeId,
-    /// Index of the service class of the attempt.
+    /// Index of the service class.
     pub class: usize,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The time since it was sent.
+    /// Time from sending to the end.
     pub latency: Micros,
 }
 
-/// An attempt that got no answer in time.
+/// An attempt that was not answered in time.
 #[derive(Clone, Copy, Debug)]
 pub struct LateAttempt {
-    /// When it was sent.
     pub sent_at: Micros,
-    /// Whether the node is in a zone that is slow to reach.
+    /// Whether the node is in a zone with a high additional latency.
     pub is_remote: bool,
 }
--- a/crates/balancer/src/state/plan.rs
+++ b/crates/balancer/src/state/plan.rs
@@ -1,36 +1,35 @@
-//! Which nodes are to get the shard requests of a query.
+//! Assignment of a query's shard requests to nodes.
 
 use crate::{NodeId, ShardRequestId};
 
-/// The node that is to get a shard request.
+/// A shard request and the node that it is to be sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Assignment {
-    /// The shard request.
     pub shard_request: ShardRequestId,
-    /// The node.
     pub node: NodeId,
 }
 
-/// The nodes that are to get shard requests.
+/// Assignments that are to be sent in one decision.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// The assignments in the order of sending.
+    /// Assignments in the order of sending.
     pub assignments: Vec<Assignment>,
 }
 
 impl Plan {
-    /// How many shard requests it assigns to a node.
+    /// Returns the number of shard requests assigned to a node.
     pub fn count_at(&self, node: NodeId) -> usize {
         self.assignments.iter().filter(|assignment| assignment.node == node).count()
     }
 
-    /// Assigns shard requests to a node.
+    /// Assigns a batch of shard requests to a node.
     pub fn assign(&mut self, batch: Vec<ShardRequestId>, node: NodeId) {
         let assign = |shard_request| Assignment { shard_request, node };
         self.assignments.extend(batch.into_iter().map(assign));
     }
 
-    /// Keeps the shard requests that it does not assign. Its order is lost.
+    /// Removes the assigned shard requests from `shard_requests`. Consumes the plan, because it sorts the
+    /// assignments.
     pub fn retain_unassigned(mut self, shard_requests: &mut Vec<ShardRequestId>) {
         self.assignments.sort_unstable();
         let find = |id: &ShardRequestId| {
@@ -39,7 +38,7 @@
         shard_requests.retain(|id| find(id).is_err());
     }
 
-    /// Keeps the assignments to the node of the first one.
+    /// Removes the assignments to other nodes than that of the first assignment.
     pub fn retain_first_node(&mut self) {
         let first = self.assignments.first().map(|assignment| assignment.node);
         self.assignments.retain(|assignment| Some(assignment.node) == first);
--- a/crates/balancer/src/state/query.rs
+++ b/crates/balancer/src/state/query.rs
@@ -1,53 +1,51 @@
-//! Queries.
+//! State of a query.
 
 use crate::{AttemptOutcome, Micros, NodeId, QueryArrival, ShardRequestId};
 
-/// What the tries of one client have in common.
+/// Properties that a client's retries of a query share with the original.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueryFingerprint {
-    /// Index of the service class.
     pub class: usize,
-    /// Index of the tenant.
     pub tenant: usize,
-    /// The shard of the first shard request.
+    /// Index of the shard of the first shard request.
     pub first_shard: usize,
-    /// How many shard requests there are.
+    /// Number of shard requests.
     pub shard_requests: usize,
 }
 
-/// A query that the balancer keeps track of.
+/// A query that is open or has attempts in flight.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Index of its service class.
+    /// Index of the service class.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// Its place in the admission queue: the lowest goes first.
+    /// Rank in the admission queue; queries with lower ranks are admitted first.
     pub queue_rank: u8,
-    /// The time by which it should be answered.
+    /// Time by which the query should be answered.
     pub latency_objective: Micros,
-    /// The time by which it must be answered.
+    /// Time by which the query must be answered.
     pub deadline: Micros,
-    /// Whether the client marked it as a retry.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// Its shard requests, of the first step and then of the second.
+    /// Shard requests, those of the first step before those of the second.
     pub shard_requests: Vec<ShardRequestId>,
-    /// Where the shard requests of the present step begin.
+    /// Index in `shard_requests` of the first one of the current step; 0 in the first step.
     pub step_start: usize,
-    /// Whether the first step was answered completely.
+    /// Whether the first step was complete; only meaningful in the second step.
     pub first_step_complete: bool,
-    /// When it was admitted.
+    /// Time of admission; `None` while the query waits for it.
     pub admitted_at: Option<Micros>,
-    /// Whether its first batch was sent ahead of the rest.
+    /// Whether the first batch was sent as a canary, ahead of the rest.
     pub has_canary: bool,
-    /// Whether a shard request was answered.
+    /// Whether any shard request was answered.
     pub has_answer: bool,
-    /// The nodes that lost a connection under it.
+    /// Nodes whose connection was lost during an attempt of this query.
     pub crashed_nodes: Vec<NodeId>,
 }
 
 impl Query {
-    /// A query without shard requests, to be answered by `latency_objective` if possible.
+    /// Creates a query without shard requests, to be answered by `latency_objective` if possible.
     pub fn new(arrival: &QueryArrival, latency_objective: Micros) -> Self {
         Query {
             class: arrival.class,
@@ -66,24 +64,24 @@
         }
     }
 
-    /// The shard requests of the present step.
+    /// Returns the shard requests of the current step.
     pub fn current_step(&self) -> &[ShardRequestId] {
         &self.shard_requests[self.step_start..]
     }
 
-    /// Notes that it was admitted, and whether its first batch goes ahead of the rest.
+    /// Records the admission, and whether the first batch is sent as a canary.
     pub fn admit(&mut self, now: Micros, has_canary: bool) {
         self.admitted_at = Some(now);
         self.has_canary = has_canary;
     }
 
-    /// Starts the second step, whose shard requests follow.
+    /// Starts the second step; its shard requests arrive later.
     pub fn start_second_step(&mut self, first_step_complete: bool) {
         self.step_start = self.shard_requests.len();
         self.first_step_complete = first_step_complete;
     }
 
-    /// Notes how an attempt at one of its shard requests ended.
+    /// Records the outcome of an attempt of one of the query's shard requests.
     pub fn attempt_ended(&mut self, node: NodeId, outcome: AttemptOutcome) {
         self.has_answer |= outcome == AttemptOutcome::Succeeded;
         if outcome == AttemptOutcome::ConnectionLost && !self.crashed_nodes.contains(&node) {
--- a/crates/balancer/src/state/query_table.rs
+++ b/crates/balancer/src/state/query_table.rs
@@ -1,4 +1,4 @@
-//! Queries and shard requests by their ids.
+//! Queries and shard requests, indexed by their identifiers.
 
 use super::node_table::NodeTable;
 use super::query::{Query, QueryFingerprint};
@@ -6,38 +6,38 @@
 use crate::{AttemptId, AttemptNumber, AttemptOutcome, Micros, NodeId, QueryId, ShardRequestId};
 use std::ops::{Index, IndexMut};
 
-/// How far some shard requests have come.
+/// Progress of a set of shard requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Progress {
-    /// The weight of those answered.
+    /// Total weight of the answered shard requests.
     pub answered_weight: f64,
-    /// The weight of those answered or expected to be.
+    /// Total weight of the shard requests that are answered or pending.
     pub possible_weight: f64,
-    /// Whether an answer is expected.
+    /// Whether a shard request is pending.
     pub any_pending: bool,
-    /// Whether all were answered.
+    /// Whether all shard requests are answered.
     pub all_answered: bool,
-    /// Whether one was abandoned.
+    /// Whether a shard request was abandoned.
     pub any_abandoned: bool,
 }
 
-/// The attempts of a query that are in flight.
+/// Summary of a query's attempts in flight.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct InFlightSummary {
-    /// How many there are.
+    /// Number of attempts in flight.
     pub attempts: usize,
-    /// When the last attempt of the query was sent.
+    /// Time at which the query's last attempt was sent, whether or not it is in flight; 0 if there was none.
     pub last_sent_at: Micros,
 }
 
-/// Queries and shard requests by their ids, of which the front end uses one again once it was released.
+/// Queries and shard requests, indexed by their identifiers, which the front end reuses after their release.
 #[derive(Default)]
 pub struct QueryTable {
     queries: Vec<Option<Query>>,
     shard_requests: Vec<Option<ShardRequest>>,
     /// Queries without a final answer, in the order of their arrival.
     open: Vec<QueryId>,
-    /// Queries that have ended and may have attempts in flight.
+    /// Queries that have ended but may still have attempts in flight.
     ended: Vec<QueryId>,
 }
 
@@ -60,12 +60,12 @@
         self.shard_requests[id.0] = Some(shard_request);
     }
 
-    /// Queries without a final answer, in the order of their arrival.
+    /// Returns the queries without a final answer, in the order of their arrival.
     pub fn open(&self) -> &[QueryId] {
         &self.open
     }
 
-    /// Lets no open query last longer than this.
+    /// Limits the deadlines and latency objectives of all open queries to `latest`.
     pub fn limit_deadlines(&mut self, latest: Micros) {
         for &id in &self.open {
             let Some(query) = &mut self.queries[id.0] else { continue };
@@ -74,24 +74,24 @@
         }
     }
 
-    /// The query of a shard request.
+    /// Returns the query that a shard request belongs to.
     pub fn query_of(&self, id: ShardRequestId) -> &Query {
         &self[self[id].query]
     }
 
-    /// The shard requests of the present step that have neither been sent nor abandoned.
+    /// Returns the shard requests of the current step that have no attempts and are not abandoned.
     pub fn not_attempted(&self, id: QueryId) -> Vec<ShardRequestId> {
         let mut not_attempted = self[id].current_step().to_vec();
         not_attempted.retain(|&id| self[id].attempts.is_empty() && !self[id].is_abandoned());
         not_attempted
     }
 
-    /// Whether an attempt at the query may have been executed.
+    /// Returns whether an attempt of the query may have been executed.
     pub fn may_have_executed(&self, id: QueryId) -> bool {
         self[id].shard_requests.iter().any(|&id| self[id].may_have_executed_since.is_some())
     }
 
-    /// What the tries of one client have in common.
+    /// Returns the properties that a client's retries of the query share with it.
     pub fn fingerprint(&self, id: QueryId) -> QueryFingerprint {
         let query = &self[id];
         QueryFingerprint {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// How far some shard requests have come.
+    /// Returns the progress of a set of shard requests.
     pub fn progress(&self, shard_requests: &[ShardRequestId]) -> Progress {
         let mut progress = Progress {
             answered_weight: 0.0,
@@ -121,7 +121,7 @@
         progress
     }
 
-    /// The attempts of a query that are in flight.
+    /// Returns a summary of the query's attempts in flight.
     pub fn in_flight(&self, id: QueryId) -> InFlightSummary {
         let mut in_flight = InFlightSummary::default();
         for shard_request in self[id].shard_requests.iter().map(|&id| &self[id]) {
@@ -131,7 +131,7 @@
         in_flight
     }
 
-    /// The attempts at a shard request that are in flight.
+    /// Returns the attempts in flight of a shard request.
     pub fn attempts_in_flight(
         &self, id: ShardRequestId, nodes: &NodeTable,
     ) -> impl Iterator<Item = AttemptId> {
@@ -142,21 +142,21 @@
             .map(move |(number, _)| AttemptId::new(id, number))
     }
 
-    /// Notes how an attempt at a shard request ended.
+    /// Records the outcome of an attempt of a shard request.
     pub fn attempt_ended(&mut self, id: ShardRequestId, node: NodeId, outcome: AttemptOutcome) {
         let query = self[id].query;
         self[query].attempt_ended(node, outcome);
         self[id].attempt_ended(outcome);
     }
 
-    /// Gives up on answers.
+    /// Marks shard requests as abandoned.
     pub fn abandon<'a>(&mut self, shard_requests: impl Iterator<Item = &'a ShardRequestId>) {
         for &id in shard_requests {
             self[id].abandon();
         }
     }
 
-    /// Ends a query.
+    /// Moves a query from the open to the ended ones; has no effect if it has already ended.
     pub fn close(&mut self, id: QueryId) {
         if let Some(index) = self.open.iter().position(|&open| open == id) {
             self.open.remove(index);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Removes the ended queries that have no attempts in flight, and returns them.
+    /// Removes the ended queries without attempts in flight, and returns them.
     pub fn release_ended(&mut self) -> Vec<QueryId> {
         let is_in_flight =
             |&id: &QueryId| self[id].shard_requests.iter().any(|&request| self[request].in_flight > 0);
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Whether a query or shard request refers to a node.
+    /// Returns whether a query or shard request refers to a node.
     pub fn refers_to(&self, node: NodeId) -> bool {
         self.shard_requests.iter().flatten().any(|shard_request| shard_request.attempts.contains(&node))
             || self.queries.iter().flatten().any(|query| query.crashed_nodes.contains(&node))
--- a/crates/balancer/src/state/samples_retained.rs
+++ b/crates/balancer/src/state/samples_retained.rs
@@ -1,31 +1,31 @@
-//! How many samples of each measurement are kept.
+//! Number of samples that are kept of each measurement.
 
-/// How many samples of each measurement are kept.
+/// Number of samples that are kept of each measurement.
 pub struct SamplesRetained {
-    /// Latencies of all nodes.
+    /// Latencies across all nodes.
     pub latencies: usize,
     /// Latencies of each zone.
     pub zone_latencies: usize,
     /// Latencies of each node.
     pub node_latencies: usize,
-    /// Ends of attempts at each node.
+    /// Outcomes of attempts at each node.
     pub node_failures: usize,
-    /// Sends to each node.
+    /// Attempts sent to each node.
     pub node_sends: usize,
-    /// Sends to all nodes, and retries and hedged attempts among them.
+    /// Attempts sent to all nodes; also used for the retries and hedged attempts among them.
     pub sends: usize,
-    /// Idle times before attempts.
+    /// Idle times of nodes before attempts.
     pub idle_times: usize,
-    /// Queries and shard requests that arrived.
+    /// Arrivals of queries and shard requests.
     pub arrivals: usize,
-    /// Queries of each tenant.
+    /// Arrivals of queries of each tenant.
     pub tenant_arrivals: usize,
-    /// Answers and rejections.
+    /// Answers and rejections of attempts.
     pub rejections: usize,
     /// Crashes of nodes.
     pub crashes: usize,
     /// Durations of the queries of each class.
     pub class_durations: usize,
-    /// Times that clients left for the queries of each class.
+    /// Timeouts that clients set for the queries of each class.
     pub class_query_timeouts: usize,
 }
--- a/crates/balancer/src/state/service_class.rs
+++ b/crates/balancer/src/state/service_class.rs
@@ -1,53 +1,54 @@
-//! Service classes: their settings and what was measured of their queries.
+//! Settings and measurements of service classes.
 
 use super::samples_retained::SamplesRetained;
 use super::sliding_window::SlidingWindow;
 use crate::{ClassSettings, Idempotency, Micros};
 
-/// The weights of shards that an answer needs.
+/// Minimum total weights of the answered shards.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Completeness {
-    /// The weight that makes it complete.
+    /// Minimum weight for a complete answer.
     pub required: f64,
-    /// The weight that makes it at least partial.
+    /// Minimum weight for a partial answer.
     pub minimum: f64,
 }
 
-/// The settings of a service class, and what was measured of its queries.
+/// Settings of a service class, and measurements of its queries.
 #[derive(Clone, Debug)]
 pub struct ServiceClass {
-    /// Whether an attempt may be repeated.
+    /// Whether an attempt that may have been executed may be repeated.
     pub idempotency: Idempotency,
-    /// How soon after its arrival a query should be answered.
+    /// Time within which a query should be answered, from its arrival; equal to the deadline if the class has
+    /// no objective.
     pub latency_objective: Micros,
-    /// How much longer than that a query may take for each unit of its estimated work.
+    /// Extension of the latency objective, as a multiple of the query's estimated work.
     pub latency_objective_stretch: f64,
-    /// How soon after its arrival a query must be answered.
+    /// Time within which a query must be answered, from its arrival.
     pub deadline: Micros,
-    /// What an answer after the latency objective is worth, relative to one before.
+    /// Value of an answer after the latency objective, relative to one before it.
     pub late_value: f64,
-    /// What a partial answer is worth, relative to a complete one.
+    /// Value of a partial answer, relative to a complete one.
     pub partial_value: f64,
-    /// The weight of shards that makes an answer complete.
+    /// Minimum total weight of the answered shards for a complete answer.
     pub completeness_required: f64,
-    /// The weight of shards that makes an answer at least partial.
+    /// Minimum total weight of the answered shards for a partial answer.
     pub completeness_minimum: f64,
-    /// What a query counts for relative to others.
+    /// Importance of a query relative to those of other classes.
     pub priority_weight: f64,
-    /// How long a repeat is recognized by its key.
+    /// Time for which nodes detect duplicates by the idempotency key.
     pub idempotency_window: Micros,
-    /// Whether a query has a second step of shard requests that follow the first answer.
+    /// Whether a query has a second step, whose shard requests arrive after the answer to the first.
     pub second_step: bool,
-    /// How long complete queries took from their admission.
+    /// Durations of complete queries from their admission.
     pub durations: SlidingWindow,
-    /// How long a query usually takes from its admission, as of this decision.
+    /// Expected duration of a query from its admission; computed in each decision.
     pub expected_duration: Micros,
-    /// The time that clients left for their queries.
+    /// Timeouts that clients set for their queries: time from arrival to deadline.
     pub query_timeouts: SlidingWindow,
 }
 
 impl ServiceClass {
-    /// A class without measurements. Without a latency objective its deadline takes the place.
+    /// Creates a class without measurements.
     pub fn new(settings: &ClassSettings, retained: &SamplesRetained) -> Self {
         ServiceClass {
             idempotency: settings.idempotency,
--- a/crates/balancer/src/state/shard_map.rs
+++ b/crates/balancer/src/state/shard_map.rs
@@ -1,11 +1,11 @@
-//! Which nodes hold a shard.
+//! Lookup of the nodes that hold a shard.
 
 use super::node_table::NodeTable;
 use crate::{NodeId, ShardSettings};
 use std::collections::BTreeMap;
 
-/// Which replica sets hold a shard, and the ready nodes of each. A shard is held by as many consecutive
-/// replica sets as the settings say, the first of which has its index.
+/// Mapping from shards to replica sets and their ready nodes. Each shard is held by a configured number of
+/// consecutive replica sets, starting with the one at the shard's index, modulo the number of replica sets.
 #[derive(Default)]
 pub struct ShardMap {
     sets_per_shard: usize,
@@ -15,7 +15,7 @@
 }
 
 impl ShardMap {
-    /// A map without nodes.
+    /// Creates a map without nodes.
     pub fn new(settings: &ShardSettings) -> Self {
         ShardMap {
             sets_per_shard: settings.replica_sets_per_shard_or_one(),
@@ -25,19 +25,19 @@
         }
     }
 
-    /// How many nodes are ready.
+    /// Returns the number of ready nodes.
     pub fn ready_nodes(&self) -> usize {
         self.ready_nodes
     }
 
-    /// Whether a replica set holds a shard.
+    /// Returns whether a replica set holds a shard.
     pub fn holds(&self, replica_set: usize, shard: usize) -> bool {
         let (set, first) = (replica_set % self.set_count, shard % self.set_count);
         let wrapped = if set < first { set + self.set_count } else { set };
         wrapped - first < self.sets_per_shard
     }
 
-    /// Assigns the ready nodes to their replica sets.
+    /// Rebuilds the lists of ready nodes from the node table.
     pub fn rebuild(&mut self, nodes: &NodeTable) {
         self.ready_by_set = BTreeMap::new();
         self.ready_nodes = 0;
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The ready nodes that hold a shard, by id.
+    /// Returns the ready nodes that hold a shard, in the order of their identifiers.
     pub fn replicas(&self, shard: usize) -> Vec<NodeId> {
         let sets = (0..self.sets_per_shard).map(|offset| (shard % self.set_count + offset) % self.set_count);
         let mut replicas: Vec<NodeId> =
--- a/crates/balancer/src/state/shard_request.rs
+++ b/crates/balancer/src/state/shard_request.rs
@@ -1,55 +1,53 @@
-//! The request of a query to one shard.
+//! State of a query's request to one shard.
 
 use crate::{AttemptNumber, AttemptOutcome, Micros, NodeId, QueryId, ShardRequestArrival};
 
-/// Whether a shard request has ended.
+/// Status of a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShardRequestStatus {
-    /// An answer is expected.
+    /// Neither answered nor abandoned.
     Pending,
-    /// It was answered.
     Answered,
-    /// No answer is expected any more.
+    /// No further attempt is sent and no answer is expected.
     Abandoned,
 }
 
-/// Why another attempt is sent.
+/// Kind of a further attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// All earlier attempts have ended.
+    /// All earlier attempts have ended without an answer.
     Retry,
-    /// An earlier attempt is in flight and late.
+    /// A hedged attempt: an earlier one is still in flight.
     Hedge,
 }
 
-/// The request of a query to one shard.
+/// A query's request to one shard.
 #[derive(Clone, Debug)]
 pub struct ShardRequest {
-    /// The query that it belongs to.
     pub query: QueryId,
-    /// Index of the shard.
+    /// Index of the requested shard.
     pub shard: usize,
-    /// Its share of the query's answer.
+    /// Share of the query's answer.
     pub weight: f64,
-    /// The node of each attempt.
+    /// Node of each attempt, by attempt number.
     pub attempts: Vec<NodeId>,
-    /// How many attempts are in flight.
+    /// Number of attempts in flight.
     pub in_flight: usize,
-    /// When the last attempt was sent.
+    /// Time at which the last attempt was sent; 0 if there was none.
     pub sent_at: Micros,
-    /// How long the node of the last attempt had not been heard from by then; absent once that attempt was
-    /// found late.
+    /// Idle time of the last attempt's node when the attempt was sent; `None` before the first attempt and once
+    /// the last one has been recorded as late.
     pub idle_time: Option<Micros>,
-    /// When the earliest attempt was sent that may have been executed.
+    /// Lower bound for the time of the earliest attempt that may have been executed; `None` if there is no such
+    /// attempt.
     pub may_have_executed_since: Option<Micros>,
-    /// How many attempts are proven not to have been executed.
+    /// Number of attempts that are proven not to have been executed.
     pub proven_not_executed: usize,
-    /// Whether it has ended.
     pub status: ShardRequestStatus,
 }
 
 impl ShardRequest {
-    /// A shard request without attempts.
+    /// Creates a shard request without attempts.
     pub fn new(arrival: &ShardRequestArrival) -> Self {
         ShardRequest {
             query: arrival.query,
@@ -65,42 +63,42 @@
         }
     }
 
-    /// Whether an answer is expected.
+    /// Returns whether the shard request is neither answered nor abandoned.
     pub fn is_pending(&self) -> bool {
         self.status == ShardRequestStatus::Pending
     }
 
-    /// Whether it was answered.
+    /// Returns whether the shard request was answered.
     pub fn is_answered(&self) -> bool {
         self.status == ShardRequestStatus::Answered
     }
 
-    /// Whether no answer is expected any more.
+    /// Returns whether the shard request was abandoned.
     pub fn is_abandoned(&self) -> bool {
         self.status == ShardRequestStatus::Abandoned
     }
 
-    /// Whether all its attempts have ended without an answer.
+    /// Returns whether attempts were made and all of them have ended without an answer.
     pub fn needs_retry(&self) -> bool {
         self.is_idle() && !self.attempts.is_empty()
     }
 
-    /// What another attempt would be.
+    /// Returns the kind of the next attempt, given that there was one before.
     pub fn next_repeat(&self) -> Repeat {
         if self.in_flight > 0 { Repeat::Hedge } else { Repeat::Retry }
     }
 
-    /// Whether it waits for an answer without an attempt in flight.
+    /// Returns whether the shard request is pending without an attempt in flight.
     pub fn is_idle(&self) -> bool {
         self.is_pending() && self.in_flight == 0
     }
 
-    /// Gives up on an answer.
+    /// Marks the shard request as abandoned.
     pub fn abandon(&mut self) {
         self.status = ShardRequestStatus::Abandoned;
     }
 
-    /// Notes an attempt, and returns its number.
+    /// Records an attempt, and returns its number.
     pub fn attempt_sent(&mut self, now: Micros, node: NodeId, idle_time: Micros) -> AttemptNumber {
         self.idle_time = Some(idle_time);
         self.attempts.push(node);
@@ -110,7 +108,7 @@
         AttemptNumber(self.attempts.len() - 1)
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         self.in_flight -= 1;
         if outcome == AttemptOutcome::Succeeded && self.is_pending() {
--- a/crates/balancer/src/state/sliding_window.rs
+++ b/crates/balancer/src/state/sliding_window.rs
@@ -1,4 +1,4 @@
-//! The last samples of a measurement; sums and quantiles are computed when they are asked for.
+//! Sliding window over the samples of a measurement; sums and quantiles are computed on request.
 
 use crate::Micros;
 use std::cell::Cell;
@@ -10,7 +10,7 @@
     value: f64,
 }
 
-/// The last quantile that was computed.
+/// Result of the last quantile computation.
 #[derive(Clone, Copy, Debug)]
 struct CachedQuantile {
     share: f64,
@@ -18,12 +18,10 @@
     value: Option<f64>,
 }
 
-/// How many samples were negative, and how many there were.
+/// Numbers of negative samples and of all samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SignCounts {
-    /// Samples below zero.
     pub negative: f64,
-    /// All samples.
     pub total: f64,
 }
 
@@ -32,17 +30,17 @@
 pub struct SlidingWindow {
     capacity: usize,
     samples: VecDeque<Sample>,
-    /// Many callers ask for the same quantile in one decision.
+    /// Cached because many callers request the same quantile in one decision.
     cached: Cell<Option<CachedQuantile>>,
 }
 
 impl SlidingWindow {
-    /// An empty window of at most `capacity` samples.
+    /// Creates an empty window of at most `capacity` samples.
     pub fn new(capacity: usize) -> Self {
         SlidingWindow { capacity, ..Default::default() }
     }
 
-    /// Adds a sample, which replaces the oldest one if the window is full.
+    /// Adds a sample; removes the oldest one if the window is full.
     pub fn push(&mut self, at: Micros, value: f64) {
         if self.samples.len() == self.capacity {
             self.samples.pop_front();
@@ -58,12 +56,13 @@
         }
     }
 
-    /// The values of the samples taken at `from` or later, the newest first.
+    /// Iterates over the values of the samples taken at `from` or later, newest first.
     pub fn since(&self, from: Micros) -> impl Iterator<Item = f64> + '_ {
         self.samples.iter().rev().take_while(move |sample| sample.at >= from).map(|sample| sample.value)
     }
 
-    /// The window at `index` of a list, which grows to hold it by windows of `capacity` samples.
+    /// Returns the window at `index` of a list, after extending the list to include it with windows of
+    /// `capacity` samples.
     pub fn entry(list: &mut Vec<SlidingWindow>, index: usize, capacity: usize) -> &mut SlidingWindow {
         if list.len() <= index {
             list.resize(index + 1, SlidingWindow::new(capacity));
@@ -71,22 +70,22 @@
         &mut list[index]
     }
 
-    /// How many samples were taken at `from` or later.
+    /// Returns the number of samples taken at `from` or later.
     pub fn count(&self, from: Micros) -> usize {
         self.since(from).count()
     }
 
-    /// When the last sample was taken.
+    /// Returns the time of the last sample.
     pub fn last_at(&self) -> Option<Micros> {
         self.samples.back().map(|sample| sample.at)
     }
 
-    /// The sum of the samples taken at `from` or later.
+    /// Returns the sum of the samples taken at `from` or later.
     pub fn sum(&self, from: Micros) -> f64 {
         self.since(from).sum()
     }
 
-    /// The value below which `share` of the samples taken at `from` or later lies.
+    /// Returns the quantile `share` (0 to 1) of the samples taken at `from` or later; `None` if there are none.
     pub fn quantile(&self, share: f64, from: Micros) -> Option<f64> {
         if let Some(cached) = self.cached.get().filter(|cached| (cached.share, cached.from) == (share, from))
         {
@@ -99,8 +98,8 @@
         value
     }
 
-    /// Of the samples taken at `from` or later: the counts of those whose magnitude is under `magnitude`, and
-    /// of the others.
+    /// Counts the samples taken at `from` or later: those with an absolute value under `magnitude`, and the
+    /// others.
     pub fn split_by_magnitude(&self, from: Micros, magnitude: f64) -> [SignCounts; 2] {
         let mut counts = [SignCounts::default(); 2];
         for value in self.since(from) {
@@ -111,7 +110,7 @@
         counts
     }
 
-    /// Forgets all samples.
+    /// Removes all samples.
     pub fn clear(&mut self) {
         self.samples.clear();
         self.cached.set(None);
