--- a/crates/balancer/src/balancer.rs
+++ b/crates/balancer/src/balancer.rs
@@ -1,44 +1,44 @@
-//! The balancer: what it keeps, and how events reach the decisions in [`policy`](crate::policy).
+//! The balancer's state, and the event handlers that update it. The decisions are in [`policy`](crate::policy).
 
 use crate::policy::{MAX_CONCURRENCY_LIMIT, RETAINED};
 use crate::state::{
-    AdmissionState, DiscoveryState, FleetStatistics, NodeState, NodeTable, QueryTable, ServiceClass,
-    ShardMap, ShardRequest, SiteSettings, SlidingWindow,
+    AdmissionState, DeploymentSettings, DiscoveryState, FleetStatistics, NodeState, NodeTable, QueryTable,
+    ServiceClass, ShardMap, ShardRequest, SlidingWindow,
 };
 use crate::{
     Actions, AttemptEnd, ClassSettings, Endpoint, EndpointUpdate, Events, LoadReport, Micros, NodeId,
     QueryArrival, QueryId, Settings, ShardRequestArrival,
 };
 
-/// Decides for one router, from its settings and its own events.
+/// Load balancer and admission control of one router, based on its settings and the events that it receives.
 #[derive(Default)]
 pub struct Balancer {
-    /// The settings as they were passed, from which service classes and tenants are read when first seen.
+    /// Settings as passed by the front end; the entry of a service class or tenant is read on first use.
     pub(crate) settings: Settings,
-    pub(crate) site: SiteSettings,
+    pub(crate) deployment: DeploymentSettings,
     pub(crate) classes: Vec<ServiceClass>,
-    /// Draws the tie-breaks of nodes and the jitter of requests for the endpoint list.
+    /// Source of the tie-breakers of nodes and of the jitter of endpoint list requests.
     pub(crate) random: fastrand::Rng,
     pub(crate) nodes: NodeTable,
-    /// Which ready nodes hold a shard.
+    /// Ready nodes by shard.
     pub(crate) shards: ShardMap,
-    /// Queries that are open or have attempts in flight.
+    /// Queries that are open or still have attempts in flight.
     pub(crate) queries: QueryTable,
-    /// When the last decision began.
+    /// Time of the last call of [`decide`](Events::decide).
     pub(crate) now: Micros,
     pub(crate) statistics: FleetStatistics,
     pub(crate) admission: AdmissionState,
     pub(crate) discovery: DiscoveryState,
-    /// Retries and hedged attempts sent.
+    /// One sample for each retry or hedged attempt sent.
     pub(crate) retries: SlidingWindow,
 }
 
 impl Balancer {
-    /// A balancer that knows no nodes; `seed` determines its random draws.
+    /// Creates a balancer without nodes; `seed` initializes its random number generator.
     pub fn new(seed: u64, settings: Settings) -> Self {
         Balancer {
             shards: ShardMap::new(&settings.shards),
-            site: SiteSettings::new(&settings),
+            deployment: DeploymentSettings::new(&settings),
             settings,
             random: fastrand::Rng::with_seed(seed),
             statistics: FleetStatistics::new(&RETAINED),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Grows the list of service classes to `count`.
+    /// Extends the list of service classes to at least `count`; those without settings get the defaults.
     pub(crate) fn ensure_classes(&mut self, count: usize) {
         let unlisted = ClassSettings::default();
         let missing = self.classes.len()..count;
@@ -58,7 +58,7 @@
         }));
     }
 
-    /// A node of which nothing is known.
+    /// Creates the state of a node without measurements.
     pub(crate) fn new_node(tie_break: f64) -> NodeState {
         NodeState::new(tie_break, MAX_CONCURRENCY_LIMIT, &RETAINED)
     }
@@ -75,9 +75,9 @@
         self.nodes.ensure(endpoint.node, || Self::new_node(random.f64()));
         self.admission.reservations.resize(self.nodes.len(), 0);
         let node = &mut self.nodes[endpoint.node];
-        node.apply(endpoint, self.discovery.update_number);
+        node.apply_update(endpoint, self.discovery.update_number);
         if endpoint.started_at > node.started_at {
-            node.restart(endpoint.started_at);
+            node.record_restart(endpoint.started_at);
             self.observe_restart(now, endpoint.started_at);
         }
     }
@@ -88,7 +88,7 @@
             EndpointUpdate::Failed => self.delay_next_request(now, actions),
             EndpointUpdate::Cached => {}
             EndpointUpdate::Full | EndpointUpdate::Incremental => {
-                if self.discovery.update_arrived() {
+                if self.discovery.record_update() {
                     actions.log("discovery reachable again");
                 }
             }
@@ -112,14 +112,14 @@
 
     fn attempt_ended(&mut self, now: Micros, end: &AttemptEnd) {
         let id = end.attempt.shard_request;
-        let Some(attempt) = self.nodes[end.node].take(id, end.attempt.number) else { return };
+        let Some(attempt) = self.nodes[end.node].remove_in_flight(id, end.attempt.number) else { return };
         self.observe_attempt(now, &attempt, end);
         self.queries.attempt_ended(id, end.node, end.outcome);
     }
 
     fn load_reported(&mut self, now: Micros, node: NodeId, report: &LoadReport) {
         self.ensure_classes(self.settings.named_classes().count());
-        self.nodes[node].load_reported(now, report.in_flight);
+        self.nodes[node].record_load_report(now, report.in_flight);
         self.observe_report(now, node, report);
     }
 
