--- a/crates/query-router/src/router/clients/idle.rs
+++ b/crates/query-router/src/router/clients/idle.rs
@@ -1,21 +1,22 @@
-//! Client connections without a request: their limit, and how they are closed.
+//! Client connections without a request: eviction above their limit, and closing in a graceful shutdown.
 
 use crate::io::{ConnectionId, Effect};
 use crate::router::connection::client::{ClientConnection, ClientState};
 use crate::router::context::Context;
 use balancer::Micros;
 
-/// How long a connection is still read after its writing side was closed.
-pub const LINGER: Micros = 1_000_000;
+/// The time for which a connection is still read after the router has closed its writing side.
+pub const LINGER_TIMEOUT: Micros = 1_000_000;
 
-/// How long after it was accepted a connection without a request is kept in a shutdown: its request is on the way.
+/// The time after the accept for which a shutdown keeps a connection without a request. The first request may be in
+/// transit.
 const FIRST_REQUEST_GRACE: Micros = 300_000;
 
-/// Graceful shutdown: closes the connections between requests. Guards against losing the first request of a connection
-/// that was just accepted, which its client does not send again.
+/// Graceful shutdown: closes the connections without a request. Those that were accepted recently are kept for
+/// [`FIRST_REQUEST_GRACE`], since clients do not retry the first request of a connection.
 pub fn close_idle(context: &mut Context) {
-    context.shutdown.close_idle();
-    let idle: Vec<(ConnectionId, Option<Micros>)> = without_request(context)
+    context.shutdown.begin_closing_idle();
+    let idle: Vec<(ConnectionId, Option<Micros>)> = clients_without_request(context)
         .map(|(id, client)| {
             (id, (client.state == ClientState::New).then_some(client.idle_from + FIRST_REQUEST_GRACE))
         })
@@ -28,8 +29,8 @@
     }
 }
 
-/// Closes the writing side of a connection between requests. A request that crosses the close meets no reset, and its
-/// client sends it again.
+/// Closes the writing side of a connection without a request. A request that is in transit at that time meets no reset,
+/// so that its client retries it.
 pub fn half_close(context: &mut Context, id: ConnectionId) {
     if !context.may_close_client(id) {
         return;
@@ -37,25 +38,26 @@
     tracing::debug!(connection = id.0, "client connection closed for writing");
     context.connections.client_mut(id).state = ClientState::HalfClosed;
     context.effects.push(Effect::CloseWrite(id));
-    context.set_connection_timer(id, Some(context.now + LINGER));
+    context.set_connection_timer(id, Some(context.now + LINGER_TIMEOUT));
 }
 
-/// The clients without a request, and without one that was received and is handled next.
-fn without_request(context: &Context) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
-    context.connections.clients().filter(|(_, client)| client.without_request() && !client.has_next_request())
+/// Returns the clients without a request in progress and without a pipelined one.
+fn clients_without_request(context: &Context) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
+    context.connections.clients().filter(|(_, client)| client.has_no_request() && !client.has_next_request())
 }
 
 /// Evicts idle clients, the longest idle first, while clients without a request hold more than a sixth of all
-/// connections. Guards against clients that keep connections without sending requests: clients may hold a third of all
-/// connections, and at most half of that without a request, so that others can be accepted.
+/// connections. A third of all connections is intended for clients, and at most half of that may be without a request,
+/// so that clients that send none do not keep others from being accepted.
 pub fn evict_surplus_idle(context: &mut Context) {
     let max_without_request = (context.limits.max_connections / 6).max(1);
-    let surplus = without_request(context).count().saturating_sub(max_without_request);
+    let surplus = clients_without_request(context).count().saturating_sub(max_without_request);
     if surplus == 0 {
         return;
     }
-    let mut idle: Vec<(Micros, ConnectionId)> =
-        without_request(context).filter_map(|(id, client)| Some((client.idle_since()?, id))).collect();
+    let mut idle: Vec<(Micros, ConnectionId)> = clients_without_request(context)
+        .filter_map(|(id, client)| Some((client.idle_since()?, id)))
+        .collect();
     idle.sort_unstable();
     for (_, id) in idle.into_iter().take(surplus) {
         context.evict_client(id);
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -1,4 +1,4 @@
-//! Client connections: each carries one request and its answer at a time.
+//! Client connections: each carries one request and its response at a time.
 
 mod idle;
 mod replies;
@@ -13,53 +13,54 @@
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
 use balancer::{Completion, Idempotency, Micros, QueryArrival, QueryId};
-use idle::{LINGER, evict_surplus_idle, half_close};
+use idle::{LINGER_TIMEOUT, evict_surplus_idle, half_close};
 use replies::Replies;
 
-/// How long a new connection may stay without a request before it counts as idle, as the operators state it.
+/// The time for which a new connection may have no request before it counts as idle, as specified by the operators.
 const FIRST_REQUEST_TIMEOUT: Micros = 2_000_000;
-/// How long a client may send nothing in the middle of a request. The operators want it ended within 3 s.
+/// The time for which a client may send nothing in the middle of a request. The operators require that a stalled
+/// request ends within 3 s.
 const STALLED_REQUEST_TIMEOUT: Micros = 2_500_000;
-/// The divisor of the memory limit that gives the most memory for incomplete requests of all clients.
-const UNCONSUMED_SHARE_OF_MEMORY: usize = 4;
+/// The divisor of the memory limit that gives the limit on unconsumed bytes of all clients.
+const UNCONSUMED_MEMORY_DIVISOR: usize = 4;
 
-/// A query that was accepted.
+/// A query that was accepted and is not reported to the balancer yet.
 #[derive(Debug)]
 pub struct AcceptedQuery {
     /// The report of the query to the balancer.
     pub arrival: QueryArrival,
-    /// The shards that it asks for.
+    /// The requested shards.
     pub shards: Vec<RequestedShard>,
 }
 
-/// All client connections.
+/// The state that concerns all client connections together.
 pub struct Clients {
-    /// How many clients have connected and wait to be accepted.
+    /// The number of clients that have connected and wait to be accepted.
     pending_accepts: usize,
     replies: Replies,
-    /// How many bytes were received from all clients and are not consumed.
-    unconsumed: usize,
-    /// The limit on `unconsumed` above which incomplete requests are rejected.
-    max_unconsumed: usize,
-    /// The limit on unanswered queries plus their shard requests.
+    /// The number of bytes that were received from all clients and not consumed.
+    unconsumed_bytes: usize,
+    /// The limit on `unconsumed_bytes` above which incomplete requests are rejected.
+    max_unconsumed_bytes: usize,
+    /// The limit on queries in progress plus their shard requests; `None` for no limit.
     max_in_flight: Option<usize>,
-    /// Whether shard requests may be repeated, by service class.
+    /// The idempotency of queries, by service class.
     idempotency: Vec<Idempotency>,
     vocabulary: QueryVocabulary,
 }
 
 impl Clients {
-    /// The client side of a router with this configuration; no client is connected yet.
+    /// Creates the state of a router with this configuration to which no client is connected.
     pub fn new(config: &Config) -> Clients {
         let settings = &config.settings;
         let deadlines = settings.named_classes().map(|class| class.deadline);
         Clients {
             pending_accepts: 0,
             replies: Replies { longest_deadline: deadlines.max().unwrap_or(0) },
-            unconsumed: 0,
-            max_unconsumed: config
+            unconsumed_bytes: 0,
+            max_unconsumed_bytes: config
                 .max_memory_bytes
-                .map_or(usize::MAX, |bytes| bytes / UNCONSUMED_SHARE_OF_MEMORY),
+                .map_or(usize::MAX, |bytes| bytes / UNCONSUMED_MEMORY_DIVISOR),
             max_in_flight: settings.limits.max_in_flight.filter(|&max| max > 0),
             idempotency: settings.named_classes().map(|class| class.idempotency).collect(),
             vocabulary: QueryVocabulary {
@@ -70,12 +71,12 @@
         }
     }
 
-    /// The longest deadline of any service class.
+    /// Returns the longest deadline of any service class.
     pub fn longest_deadline(&self) -> Micros {
         self.replies.longest_deadline
     }
 
-    /// Handles a client that has connected.
+    /// Accepts a client that has connected, or keeps it waiting if the limit on connections is reached.
     pub fn connected(&mut self, context: &mut Context) {
         self.pending_accepts += 1;
         context.counters.client_connections_arrived += 1;
@@ -83,37 +84,41 @@
         context.counters.client_connections_delayed += u64::from(self.pending_accepts > 0);
     }
 
-    /// Whether a client has connected and waits for a free socket.
+    /// Returns whether a client has connected and waits to be accepted.
     pub fn has_pending_accepts(&self) -> bool {
         self.pending_accepts > 0
     }
 
-    /// Accepts waiting clients, as far as the limit on descriptors allows.
+    /// Accepts waiting clients as far as the limit on connections allows.
     pub fn accept_pending(&mut self, context: &mut Context) {
         while self.pending_accepts > 0 {
             let client = ClientConnection::new(context.now);
             let Some(id) = context.open(Connection::Client(client)) else { return };
             self.pending_accepts -= 1;
             context.effects.push(Effect::Accept(id));
-            let timeout = if context.shutdown.closes_idle() { LINGER } else { FIRST_REQUEST_TIMEOUT };
+            let timeout = if context.shutdown.closes_idle_connections() {
+                LINGER_TIMEOUT
+            } else {
+                FIRST_REQUEST_TIMEOUT
+            };
             context.set_connection_timer(id, Some(context.now + timeout));
             evict_surplus_idle(context);
         }
     }
 
-    /// Reads the bytes that a client has sent. Returns its query if they hold one that is accepted.
+    /// Handles the unconsumed bytes of a client. Returns its query if they contain one that is accepted.
     pub fn received(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
     ) -> Option<AcceptedQuery> {
         self.set_unconsumed(context, id, bytes.len());
         let now = context.now;
         let client = context.connections.client_mut(id);
-        client.arrivals.note(now, bytes.len());
+        client.arrivals.record(now, bytes.len());
         match client.state {
             ClientState::New | ClientState::Idle | ClientState::ReceivingRequest => {}
             ClientState::ClosingIfIdle => client.state = ClientState::Idle,
-            ClientState::AwaitingAnswer(_) | ClientState::SendingAnswer => {
-                self.received_before_answer(context, id, bytes.len());
+            ClientState::AwaitingResponse(_) | ClientState::SendingResponse => {
+                self.received_pipelined(context, id, bytes.len());
                 return None;
             }
             ClientState::HalfClosed => {
@@ -124,53 +129,54 @@
         self.read_request(context, queries, id, bytes)
     }
 
-    /// Keeps bytes that a client sends before its last request is answered, within limits. Guards against a client that
-    /// sends much and disconnects: its end is noticed only after everything before it is read.
-    fn received_before_answer(&mut self, context: &mut Context, id: ConnectionId, length: usize) {
-        let is_over_memory = self.is_over_memory();
+    /// Keeps bytes that a client sends before the response to its last request is written, within limits. Above them,
+    /// the bytes are discarded and the connection is closed after the response. Reading must go on, since a disconnect
+    /// is detected only after all bytes before it are read.
+    fn received_pipelined(&mut self, context: &mut Context, id: ConnectionId, length: usize) {
+        let exceeds_memory_limit = self.exceeds_memory_limit();
         let client = context.connections.client_mut(id);
-        if client.close_after_answer || is_over_memory || length >= MAX_REQUEST_BYTES {
-            client.close_after_answer = true;
+        if client.close_after_response || exceeds_memory_limit || length >= MAX_REQUEST_BYTES {
+            client.close_after_response = true;
             self.consume(context, id, length);
         }
     }
 
-    /// Handles an answer that was written: closes the connection, or waits for the next request on it.
-    pub fn answer_written(&self, context: &mut Context, id: ConnectionId) {
+    /// Handles that a response was written: closes the connection, or waits for the next request on it.
+    pub fn response_written(&self, context: &mut Context, id: ConnectionId) {
         let now = context.now;
         let client = context.connections.client_mut(id);
-        if client.state != ClientState::SendingAnswer {
+        if client.state != ClientState::SendingResponse {
             return;
         }
-        if client.close_after_answer {
+        if client.close_after_response {
             return half_close(context, id);
         }
         client.state = ClientState::Idle;
         client.idle_from = now;
-        // Guards against a shutdown that began after the head of this answer was encoded, which keeps the connection
-        // open: requests that were received behind the last one are answered before the connection is closed.
-        let timer = context.shutdown.closes_idle().then_some(now);
+        // If the shutdown started after the head of this response was encoded, the response has announced that the
+        // connection stays open. The timer closes it, after pipelined requests have been handled.
+        let timer = context.shutdown.closes_idle_connections().then_some(now);
         context.set_connection_timer(id, timer);
         context.effects.push(Effect::Redeliver(id));
         evict_surplus_idle(context);
     }
 
-    /// Writes the final answer to a query.
-    pub fn answer(
+    /// Writes the final response to a query.
+    pub fn reply_to_query(
         &self, context: &mut Context, queries: &QueryTable, id: ConnectionId, query: QueryId,
         completion: Completion,
     ) {
-        self.replies.answer(context, queries, id, query, completion);
+        self.replies.reply_to_query(context, queries, id, query, completion);
     }
 
-    /// Handles the timer of a connection.
+    /// Handles the timer of a connection, the meaning of which depends on the state of the connection.
     pub fn timer_expired(&mut self, context: &mut Context, id: ConnectionId) {
         let client = context.connections.client_mut(id);
         match client.state {
             ClientState::ReceivingRequest => {
-                client.close_after_answer = true;
+                client.close_after_response = true;
                 context.counters.client_requests_stalled += 1;
-                tracing::debug!(connection = id.0, "incomplete request given up");
+                tracing::debug!(connection = id.0, "incomplete request timed out");
                 let is_stalled = context.now >= client.stalls_at;
                 let (status, reason) = if context.shutdown.has_begun() && is_stalled {
                     (503, "ending")
@@ -179,17 +185,20 @@
                 };
                 self.replies.reply_line(context, id, status, reason);
             }
-            ClientState::New | ClientState::Idle if context.shutdown.closes_idle() => {
+            ClientState::New | ClientState::Idle if context.shutdown.closes_idle_connections() => {
                 half_close(context, id);
             }
             ClientState::New | ClientState::Idle => {
                 client.state = ClientState::Idle;
                 evict_surplus_idle(context);
             }
-            ClientState::ClosingIfIdle | ClientState::AwaitingAnswer(_) => {}
-            ClientState::SendingAnswer => {
+            ClientState::ClosingIfIdle | ClientState::AwaitingResponse(_) => {}
+            ClientState::SendingResponse => {
                 context.counters.client_answers_unread += 1;
-                tracing::debug!(connection = id.0, "client closed: it does not read its answer");
+                tracing::debug!(
+                    connection = id.0,
+                    "client connection closed: the client did not read its response in time"
+                );
                 self.close(context, id);
             }
             ClientState::HalfClosed => self.close(context, id),
@@ -201,7 +210,7 @@
         idle::close_idle(context);
     }
 
-    /// Graceful shutdown: rejects the requests that are incomplete at the deadline.
+    /// Graceful shutdown: rejects the requests that are incomplete at the response deadline.
     pub fn reject_incomplete(&self, context: &mut Context) {
         let incomplete: Vec<ConnectionId> = context
             .connections
@@ -214,35 +223,35 @@
         }
     }
 
-    /// The query that a client waits for.
+    /// Returns the query for the response to which a client waits, if any.
     pub fn awaited_query(&self, context: &mut Context, id: ConnectionId) -> Option<QueryId> {
         match context.connections.client_mut(id).state {
-            ClientState::AwaitingAnswer(query) => Some(query),
+            ClientState::AwaitingResponse(query) => Some(query),
             _ => None,
         }
     }
 
-    /// Closes and removes a connection; what was received on it is discarded.
+    /// Closes and removes a connection, and discards its unconsumed bytes.
     pub fn close(&mut self, context: &mut Context, id: ConnectionId) {
         self.set_unconsumed(context, id, 0);
         context.close(id);
     }
 
-    fn is_over_memory(&self) -> bool {
-        self.unconsumed > self.max_unconsumed
+    fn exceeds_memory_limit(&self) -> bool {
+        self.unconsumed_bytes > self.max_unconsumed_bytes
     }
 
-    /// Notes how many received bytes of a client are not consumed. Guards against many incomplete or pipelined
-    /// requests, each within its own limit, that exceed the memory together.
+    /// Sets the number of unconsumed bytes of a client and updates the total. The total is limited because many
+    /// incomplete or pipelined requests, each within its own limit, could together exceed the memory limit.
     fn set_unconsumed(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
-        let previous = std::mem::replace(&mut context.connections.client_mut(id).unconsumed, count);
-        self.unconsumed = self.unconsumed - previous + count;
+        let previous = std::mem::replace(&mut context.connections.client_mut(id).unconsumed_bytes, count);
+        self.unconsumed_bytes = self.unconsumed_bytes - previous + count;
     }
 
     fn consume(&mut self, context: &mut Context, id: ConnectionId, count: usize) {
         let client = context.connections.client_mut(id);
         client.arrivals.consume(count);
-        let left = client.unconsumed.saturating_sub(count);
+        let left = client.unconsumed_bytes.saturating_sub(count);
         self.set_unconsumed(context, id, left);
         context.effects.push(Effect::Consume { connection: id, count });
     }
--- a/crates/query-router/src/router/clients/replies.rs
+++ b/crates/query-router/src/router/clients/replies.rs
@@ -1,4 +1,4 @@
-//! Answers to clients.
+//! Responses to clients.
 
 use crate::counters::debug_invariant;
 use crate::io::{ConnectionId, Effect};
@@ -8,15 +8,15 @@
 use crate::router::query_table::QueryTable;
 use balancer::{Completion, Micros, QueryId};
 
-/// Writes answers to clients.
+/// Writes responses to clients.
 pub struct Replies {
-    /// The longest deadline of any service class: how long a client may take to read an answer.
+    /// The longest deadline of any service class; also the time within which a client must read a response.
     pub longest_deadline: Micros,
 }
 
 impl Replies {
-    /// Writes the final answer to a query.
-    pub fn answer(
+    /// Writes the final response to a query.
+    pub fn reply_to_query(
         &self, context: &mut Context, queries: &QueryTable, id: ConnectionId, query: QueryId,
         completion: Completion,
     ) {
@@ -26,16 +26,16 @@
                 query = queries.wire_id(query),
                 ?completion,
                 outcomes = ?queries.outcomes(query),
-                "query not answered in full"
+                "query not completed in full"
             );
         }
         match completion {
             Completion::Complete | Completion::Partial => {
-                let body = queries.answer_body(query, completion);
+                let body = queries.response_body(query, completion);
                 debug_invariant!(
                     context.counters,
                     body.values > 0,
-                    "a complete or partial answer has a value"
+                    "a complete or partial response has a value"
                 );
                 self.reply(context, id, 200, "application/json", body.bytes, None);
             }
@@ -48,21 +48,21 @@
         }
     }
 
-    /// Writes an answer. The client must read it within the longest deadline of any service class.
+    /// Writes a response, which the client must read within the longest deadline of any service class.
     pub fn reply(
         &self, context: &mut Context, id: ConnectionId, status: u16, content_type: &str, body: Vec<u8>,
         retry_after: Option<Micros>,
     ) {
         let client = context.connections.client_mut(id);
-        client.state = ClientState::SendingAnswer;
-        client.close_after_answer |= context.shutdown.has_begun();
+        client.state = ClientState::SendingResponse;
+        client.close_after_response |= context.shutdown.has_begun();
         let retry_after_seconds = retry_after.map(|wait| wait as f64 / 1e6);
         let head = http::OutgoingHead {
             status,
             content_type,
             content_length: body.len(),
             retry_after_seconds,
-            closes_connection: client.close_after_answer,
+            closes_connection: client.close_after_response,
         };
         context.effects.push(Effect::Write {
             connection: id,
@@ -71,7 +71,7 @@
         context.set_connection_timer(id, Some(context.now + self.longest_deadline));
     }
 
-    /// Writes an answer of one line of plain text.
+    /// Writes a response whose body is one line of plain text.
     pub fn reply_line(&self, context: &mut Context, id: ConnectionId, status: u16, line: &str) {
         self.reply(context, id, status, "text/plain", format!("{line}\n").into_bytes(), None);
     }
--- a/crates/query-router/src/router/clients/requests.rs
+++ b/crates/query-router/src/router/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: queries are accepted, everything else is answered at once.
+//! Requests of clients: queries are accepted or rejected, all other requests get their response at once.
 
 use super::{AcceptedQuery, Clients, STALLED_REQUEST_TIMEOUT};
 use crate::io::{ConnectionId, Effect};
@@ -9,7 +9,7 @@
 use balancer::{Micros, QueryArrival};
 
 impl Clients {
-    /// Reads a request from the bytes that a client has sent. Returns its query if it holds one that is accepted.
+    /// Parses a request from the unconsumed bytes of a client. Returns its query if it contains one that is accepted.
     pub(super) fn read_request(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &[u8],
     ) -> Option<AcceptedQuery> {
@@ -17,16 +17,16 @@
             Ok(Some(request)) => {
                 let now = context.now;
                 let client = context.connections.client_mut(id);
-                client.close_after_answer = request.closes_connection;
+                client.close_after_response = request.closes_connection;
                 let arrived_at = client.arrivals.arrival_of(request.encoded_length).unwrap_or(now);
                 self.consume(context, id, request.encoded_length);
                 context.set_connection_timer(id, None);
                 self.handle_request(context, queries, id, &request, arrived_at)
             }
-            Ok(None) if self.is_over_memory() => {
+            Ok(None) if self.exceeds_memory_limit() => {
                 context.counters.requests_over_memory += 1;
                 let reason = "incomplete requests take too much memory";
-                self.reject_unread(context, id, bytes.len(), 503, reason);
+                self.reject_and_close(context, id, bytes.len(), 503, reason);
                 None
             }
             Ok(None) => {
@@ -35,34 +35,35 @@
             }
             Err(error) => {
                 context.counters.requests_invalid += 1;
-                self.reject_unread(context, id, bytes.len(), error.status(), &error.to_string());
+                self.reject_and_close(context, id, bytes.len(), error.status(), &error.to_string());
                 None
             }
         }
     }
 
-    /// Rejects a request that is not read in full; the connection cannot be used afterwards.
-    fn reject_unread(
+    /// Rejects a request that was not parsed, discards its bytes, and closes the connection after the response.
+    fn reject_and_close(
         &mut self, context: &mut Context, id: ConnectionId, length: usize, status: u16, reason: &str,
     ) {
-        context.connections.client_mut(id).close_after_answer = true;
+        context.connections.client_mut(id).close_after_response = true;
         self.consume(context, id, length);
         self.replies.reply_line(context, id, status, reason);
     }
 
-    /// Handles a request that was received in part.
+    /// Handles a request that was received in part: sets its deadline, and sends `100 Continue` if the client expects
+    /// it.
     fn handle_incomplete_request(&self, context: &mut Context, id: ConnectionId, bytes: &[u8]) {
         let now = context.now;
         let client = context.connections.client_mut(id);
-        if client.without_request() && !bytes.is_empty() {
+        if client.has_no_request() && !bytes.is_empty() {
             client.state = ClientState::ReceivingRequest;
             client.receiving_since = now;
         }
         if client.state == ClientState::ReceivingRequest {
             let complete_by = client.receiving_since + self.replies.longest_deadline;
-            let answer_deadline = context.shutdown.answer_deadline().unwrap_or(Micros::MAX);
+            let response_deadline = context.shutdown.response_deadline().unwrap_or(Micros::MAX);
             client.stalls_at = now + STALLED_REQUEST_TIMEOUT;
-            let deadline = answer_deadline.min(complete_by).min(client.stalls_at);
+            let deadline = response_deadline.min(complete_by).min(client.stalls_at);
             context.set_connection_timer(id, Some(deadline));
         }
         if http::expects_continue(bytes) {
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Handles a complete request: accepts a query, and answers everything else.
+    /// Handles a complete request. Returns its query if it contains one that is accepted, and responds to all others.
     fn handle_request(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
         arrived_at: Micros,
@@ -101,8 +102,8 @@
         None
     }
 
-    /// Adds a query to those in progress, or rejects it. Its deadline counts from when its last byte came, which may be
-    /// long ago where requests are pipelined.
+    /// Adds a query to those in progress, or rejects it. Its deadline counts from the arrival of its last byte, which
+    /// may be long ago if it was pipelined.
     fn accept_query(
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
         arrived_at: Micros,
@@ -125,7 +126,7 @@
             return None;
         }
         let deadline = arrived_at + query.deadline;
-        let deadline = context.shutdown.answer_deadline().map_or(deadline, |latest| latest.min(deadline));
+        let deadline = context.shutdown.response_deadline().map_or(deadline, |latest| latest.min(deadline));
         context.counters.queries_accepted += 1;
         let query_id = queries.add_query(NewQuery {
             id: request.trace_id,
@@ -134,7 +135,7 @@
             idempotency: self.idempotency[query.class],
             text: query.text,
         });
-        context.connections.client_mut(id).state = ClientState::AwaitingAnswer(query_id);
+        context.connections.client_mut(id).state = ClientState::AwaitingResponse(query_id);
         let arrival = QueryArrival {
             query: query_id,
             class: query.class,
--- a/crates/query-router/src/router/connection/arrival_times.rs
+++ b/crates/query-router/src/router/connection/arrival_times.rs
@@ -1,49 +1,49 @@
-//! When the bytes that were received on a client connection and are not consumed came. A request that stands behind
-//! another in the buffer is read long after it came, and its client counts from when it was sent.
+//! Arrival times of the unconsumed bytes of a client connection. A pipelined request may be parsed long after it
+//! arrived, but its deadline counts from its arrival.
 
 use balancer::Micros;
 use std::collections::VecDeque;
 
-/// How many times are kept. What comes beyond them counts as having come with the last.
-const MAX_MARKS: usize = 16;
+/// The most arrivals that are kept. Later bytes are merged into the last one and get its time.
+const MAX_ARRIVALS: usize = 16;
 
-/// All bytes up to `end` had come at a time.
+/// The time at which the unconsumed bytes before the offset `end` had arrived.
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct Arrival {
     end: usize,
     at: Micros,
 }
 
-/// When unconsumed bytes came.
+/// The arrival times of unconsumed bytes.
 #[derive(Debug, Default)]
 pub struct ArrivalTimes {
-    marks: VecDeque<Mark>,
+    arrivals: VecDeque<Arrival>,
 }
 
 impl ArrivalTimes {
-    /// Notes that there are `length` unconsumed bytes now.
-    pub fn note(&mut self, now: Micros, length: usize) {
-        let known = self.marks.back().map_or(0, |last| last.end);
-        if length <= known {
+    /// Records `now` as the arrival time of new bytes, if there are any among the `length` unconsumed ones.
+    pub fn record(&mut self, now: Micros, length: usize) {
+        let recorded = self.arrivals.back().map_or(0, |last| last.end);
+        if length <= recorded {
             return;
         }
-        if self.marks.len() < MAX_MARKS {
-            self.marks.push_back(Mark { end: length, at: now });
-        } else if let Some(last) = self.marks.back_mut() {
+        if self.arrivals.len() < MAX_ARRIVALS {
+            self.arrivals.push_back(Arrival { end: length, at: now });
+        } else if let Some(last) = self.arrivals.back_mut() {
             last.end = length;
         }
     }
 
-    /// When the last of the first `length` unconsumed bytes came.
+    /// Returns the arrival time of the last of the first `length` unconsumed bytes; `None` if there are fewer.
     pub fn arrival_of(&self, length: usize) -> Option<Micros> {
-        self.marks.iter().find(|mark| mark.end >= length).map(|mark| mark.at)
+        self.arrivals.iter().find(|arrival| arrival.end >= length).map(|arrival| arrival.at)
     }
 
-    /// Notes that the first `count` bytes are consumed.
+    /// Removes the first `count` bytes, which were consumed.
     pub fn consume(&mut self, count: usize) {
-        self.marks.retain(|mark| mark.end > count);
-        for mark in &mut self.marks {
-            mark.end -= count;
+        self.arrivals.retain(|arrival| arrival.end > count);
+        for arrival in &mut self.arrivals {
+            arrival.end -= count;
         }
     }
 }
@@ -53,11 +53,11 @@
     use super::*;
 
     #[test]
-    fn bytes_keep_the_time_at_which_they_came() {
+    fn bytes_keep_their_arrival_time() {
         let mut times = ArrivalTimes::default();
-        times.note(10, 100);
-        times.note(20, 250);
-        times.note(30, 250);
+        times.record(10, 100);
+        times.record(20, 250);
+        times.record(30, 250);
         assert_eq!(
             [100, 101, 250, 251].map(|length| times.arrival_of(length)),
             [Some(10), Some(20), Some(20), None]
@@ -69,12 +69,12 @@
     }
 
     #[test]
-    fn many_pieces_are_kept_in_bounds_and_never_count_as_later() {
+    fn many_arrivals_are_bounded_and_get_no_later_time() {
         let mut times = ArrivalTimes::default();
         for piece in 1..=1000 {
-            times.note(piece, piece as usize);
+            times.record(piece, piece as usize);
         }
-        assert_eq!(times.marks.len(), MAX_MARKS);
+        assert_eq!(times.arrivals.len(), MAX_ARRIVALS);
         assert!((1..=1000).all(|length| times.arrival_of(length) <= Some(length as Micros)));
     }
 }
--- a/crates/query-router/src/router/connection/discovery.rs
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -1,60 +1,60 @@
-//! A request to discovery and its response, which is read piece by piece: one endpoint list, or a stream of updates.
+//! A request to discovery and the incremental parsing of its response: one endpoint list, or a stream of updates.
 
 use crate::protocol::http::{self, BodyFraming, ChunkedDecoder, HttpError};
 use crate::protocol::json_stream::{JsonStream, JsonStreamError, JsonStreamItem, MAX_ENDPOINT_LIST_BYTES};
 use balancer::{EndpointUpdate, Micros};
 use serde_json::Value as Json;
 
-/// The longest time after which discovery sends at least a blank line on a watch.
+/// The longest time between two messages of a watch: discovery sends a blank line if there is no update.
 pub const HEARTBEAT_INTERVAL: Micros = 2_000_000;
 
-/// Why a response of discovery cannot be used.
+/// The reason why a response of discovery is rejected.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum DiscoveryError {
-    /// The head of the response or its chunks are malformed.
+    /// The head or the chunked encoding of the response is malformed.
     #[error(transparent)]
     MalformedResponse(#[from] HttpError),
-    /// The stream of a watch is not a sequence of objects.
+    /// The body of a watch is not a sequence of JSON objects.
     #[error(transparent)]
     MalformedStream(#[from] JsonStreamError),
-    /// An object of a watch is not JSON.
-    #[error("an object is not JSON")]
+    /// An update of a watch is not valid JSON.
+    #[error("an update of the watch is not valid JSON")]
     UpdateNotJson,
-    /// The response to a poll is not JSON.
-    #[error("the list is not JSON")]
+    /// The body of a poll is not valid JSON.
+    #[error("the endpoint list is not valid JSON")]
     ListNotJson,
-    /// The response is longer than any list.
-    #[error("the list is too long")]
+    /// The body is longer than [`MAX_ENDPOINT_LIST_BYTES`].
+    #[error("the body is longer than {MAX_ENDPOINT_LIST_BYTES} bytes")]
     ListTooLong,
-    /// An object of a watch does not say whether it names all endpoints.
-    #[error("'complete' is missing")]
+    /// An update of a watch does not state whether it lists all endpoints.
+    #[error("'complete' is missing or not a boolean")]
     CompleteMissing,
-    /// The revision is missing or no number.
-    #[error("its revision is not a whole number")]
+    /// The revision is missing or not an unsigned integer.
+    #[error("'revision' is missing or not an unsigned integer")]
     RevisionInvalid,
-    /// The endpoints are missing or no list.
-    #[error("'members' is not a list")]
+    /// The endpoints are missing or not an array.
+    #[error("'members' is missing or not an array")]
     MembersInvalid,
-    /// A full list names an endpoint twice.
-    #[error("an id stands in it twice")]
+    /// A full list contains an endpoint twice.
+    #[error("two entries of 'members' have the same 'id'")]
     DuplicateId,
 }
 
 /// The kind of a request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestKind {
-    /// The full endpoint list, once.
+    /// A request for the full endpoint list.
     Poll,
-    /// Updates for as long as the connection lasts.
+    /// A request for a stream of endpoint updates, which lasts as long as the connection.
     Watch,
 }
 
-/// How far a body was received.
+/// Whether a body was received in full.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BodyProgress {
-    /// More is expected.
+    /// More bytes are expected.
     Incomplete,
-    /// The body is complete.
+    /// The body was received in full.
     Complete,
 }
 
@@ -67,68 +67,68 @@
 /// The result of reading bytes of a response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseRead {
-    /// How many bytes were consumed.
+    /// The number of bytes that were consumed.
     pub consumed: usize,
-    /// How far the body was received.
+    /// Whether the body was received in full.
     pub progress: BodyProgress,
 }
 
-/// An update that a watch has sent.
+/// An endpoint update from a watch.
 #[derive(Debug)]
 pub struct WatchUpdate {
-    /// The revision that it states.
+    /// The revision of the endpoint list after the update.
     pub revision: u64,
-    /// Its entries.
+    /// The entries of the update.
     pub list: EndpointList,
 }
 
-/// An endpoint list or an update of it, in discovery's form.
+/// A full endpoint list or an incremental update, as JSON in the format of discovery.
 #[derive(Debug)]
 pub struct EndpointList {
-    /// What it contains.
+    /// The kind of the endpoint update.
     pub update: EndpointUpdate,
-    /// Discovery's JSON.
+    /// The JSON object with the revision and the entries; null in an empty update.
     pub json: Json,
 }
 
-/// A message in the stream of a watch.
+/// A message in the body of a watch.
 #[derive(Debug)]
 pub enum WatchMessage {
-    /// A blank line, which proves that discovery works.
+    /// A blank line, which shows that discovery and the connection work.
     Heartbeat,
-    /// The text of an update.
+    /// The JSON text of an update.
     Update(Vec<u8>),
 }
 
-/// A request to discovery.
+/// The state of a request to discovery and of its response.
 #[derive(Debug)]
 pub struct DiscoveryRequest {
     /// The kind of the request.
     pub kind: RequestKind,
-    /// The time that the head states, until it is taken.
+    /// The time from the `Date` header until [`DiscoveryRequest::take_date`] removes it.
     date: Option<Micros>,
-    /// How the body is framed, once the head is in.
+    /// The framing of the body; `None` until the head of a successful response was received.
     framing: Option<BodyFraming>,
     chunks: ChunkedDecoder,
-    /// How much of a body of known length was read.
+    /// The number of bytes read of a body of known length.
     body_read: usize,
-    /// The received part of a poll's body.
+    /// The received part of the body of a poll.
     body: Vec<u8>,
-    /// The received part of a watch's objects.
+    /// The unread messages of a watch, the last of which may be incomplete.
     objects: JsonStream,
-    /// Since when an object of a watch is incomplete.
+    /// The time since which an object of a watch is incomplete; `None` if none is.
     partial_object_since: Option<Micros>,
     progress: BodyProgress,
-    /// Whether a watch has sent a message.
-    answered: bool,
-    /// When it last sent one, or when the request was made.
+    /// Whether a message of the watch was received.
+    message_received: bool,
+    /// The time of the last message of a watch; the time of the request before the first one.
     last_message_at: Micros,
-    /// The revision of the last update.
+    /// The revision of the last update; 0 before the first one.
     revision: u64,
 }
 
 impl DiscoveryRequest {
-    /// A request made now.
+    /// Creates the state of a request that is made at `now`.
     pub fn new(kind: RequestKind, now: Micros) -> DiscoveryRequest {
         DiscoveryRequest {
             kind,
@@ -140,20 +140,21 @@
             objects: JsonStream::default(),
             partial_object_since: None,
             progress: BodyProgress::Incomplete,
-            answered: false,
+            message_received: false,
             last_message_at: now,
             revision: 0,
         }
     }
 
-    /// Reads further bytes. Returns how many were consumed and whether the body is complete.
+    /// Parses further bytes of the response. Returns how many were consumed and whether the body is complete.
     pub fn read(&mut self, bytes: &[u8]) -> Result<ResponseRead, DiscoveryError> {
         let mut consumed = 0;
         if self.framing.is_none() {
             let Some(head) = http::parse_response_head(bytes)? else {
                 return Ok(ResponseRead { consumed: 0, progress: BodyProgress::Incomplete });
             };
-            // Discovery is down or too busy: the body is of no use, and without framing the request has failed.
+            // Discovery is unavailable or overloaded. The body is discarded, and the request fails as it has no
+            // framing.
             if head.status != 200 {
                 return Ok(ResponseRead { consumed: bytes.len(), progress: BodyProgress::Complete });
             }
@@ -168,7 +169,7 @@
         Ok(ResponseRead { consumed: consumed + body.consumed, progress: body.progress })
     }
 
-    /// Takes the time that discovery stated in the head of the response.
+    /// Removes and returns the time from the `Date` header of the response.
     pub fn take_date(&mut self) -> Option<Micros> {
         self.date.take()
     }
@@ -177,8 +178,8 @@
         match self.framing {
             Some(BodyFraming::Chunked) => {
                 let (kind, body, objects) = (self.kind, &mut self.body, &mut self.objects);
-                let mut store = |data: &[u8]| store(kind, body, objects, data);
-                let decoded = self.chunks.decode(bytes, &mut store)?;
+                let mut append = |data: &[u8]| append_body(kind, body, objects, data);
+                let decoded = self.chunks.decode(bytes, &mut append)?;
                 Ok(ResponseRead {
                     consumed: decoded.consumed,
                     progress: BodyProgress::from_complete(decoded.complete),
@@ -189,19 +190,19 @@
             }
             Some(BodyFraming::Length(length)) => {
                 let data = &bytes[..bytes.len().min(length - self.body_read)];
-                store(self.kind, &mut self.body, &mut self.objects, data);
+                append_body(self.kind, &mut self.body, &mut self.objects, data);
                 self.body_read += data.len();
                 let progress = BodyProgress::from_complete(self.body_read == length);
                 Ok(ResponseRead { consumed: bytes.len(), progress })
             }
             Some(BodyFraming::UntilClose) | None => {
-                store(self.kind, &mut self.body, &mut self.objects, bytes);
+                append_body(self.kind, &mut self.body, &mut self.objects, bytes);
                 Ok(ResponseRead { consumed: bytes.len(), progress: BodyProgress::Incomplete })
             }
         }
     }
 
-    /// The next complete message of a watch.
+    /// Removes and returns the next message of a watch; `None` if none is complete.
     pub fn next_message(&mut self) -> Result<Option<WatchMessage>, DiscoveryError> {
         let item = self.objects.next_item()?;
         Ok(match item {
@@ -211,44 +212,46 @@
         })
     }
 
-    /// Notes a message of a watch. Returns whether it is the first one.
-    pub fn note_message(&mut self, now: Micros) -> bool {
+    /// Records the arrival of a message of a watch. Returns whether it is the first one.
+    pub fn record_message(&mut self, now: Micros) -> bool {
         self.last_message_at = now;
-        !std::mem::replace(&mut self.answered, true)
+        !std::mem::replace(&mut self.message_received, true)
     }
 
-    /// Whether a watch has sent a message.
-    pub fn has_answered(&self) -> bool {
-        self.answered
+    /// Returns whether a message of the watch was received.
+    pub fn has_received_message(&self) -> bool {
+        self.message_received
     }
 
-    /// The revision of the last update of a watch.
+    /// Returns the revision of the last update of a watch; 0 before the first one.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Notes the revision of an update of a watch.
+    /// Sets the revision of the last update of a watch.
     pub fn set_revision(&mut self, revision: u64) {
         self.revision = revision;
     }
 
-    /// Notes how far the response was read. Returns since when the stream has made no progress.
-    pub fn note_progress(&mut self, now: Micros, progress: BodyProgress) -> Micros {
+    /// Records the progress after received bytes were parsed. Returns the time since which an object is incomplete, or
+    /// else the time of the last message.
+    pub fn record_progress(&mut self, now: Micros, progress: BodyProgress) -> Micros {
         self.progress = progress;
         self.partial_object_since =
             self.objects.is_inside_object().then_some(self.partial_object_since.unwrap_or(now));
         self.partial_object_since.unwrap_or(self.last_message_at)
     }
 
-    /// Notes that discovery has closed the connection in order, which completes a body without a stated length.
+    /// Handles an orderly close by discovery, which completes a body without a length.
     pub fn closed_by_peer(&mut self) {
         if self.framing == Some(BodyFraming::UntilClose) {
             self.progress = BodyProgress::Complete;
         }
     }
 
-    /// The endpoint list of a poll, `None` if the response was not complete. Guards against using a truncated list: a
-    /// body without a length is complete only after an orderly close, and no body after a reset.
+    /// Returns the endpoint list of a poll; `None` if the response is incomplete or the request is a watch. A body
+    /// without a length is complete only after an orderly close, and not after a reset, so that no truncated list is
+    /// used.
     pub fn polled_list(&self) -> Option<Result<EndpointList, DiscoveryError>> {
         let complete = self.kind == RequestKind::Poll
             && self.progress == BodyProgress::Complete
@@ -261,7 +264,7 @@
     }
 }
 
-/// Parses an update that a watch has sent.
+/// Parses an update from a watch.
 pub fn parse_update(text: &[u8]) -> Result<WatchUpdate, DiscoveryError> {
     let json: Json = serde_json::from_slice(text).map_err(|_| DiscoveryError::UpdateNotJson)?;
     let complete = json["complete"].as_bool().ok_or(DiscoveryError::CompleteMissing)?;
@@ -270,15 +273,15 @@
     Ok(WatchUpdate { revision, list: EndpointList { update, json } })
 }
 
-fn store(kind: RequestKind, body: &mut Vec<u8>, objects: &mut JsonStream, data: &[u8]) {
+fn append_body(kind: RequestKind, body: &mut Vec<u8>, objects: &mut JsonStream, data: &[u8]) {
     match kind {
         RequestKind::Watch => objects.push(data),
         RequestKind::Poll => body.extend_from_slice(data),
     }
 }
 
-/// The revision of a list that can be used; its entries are checked one by one later. An incremental update may name
-/// an endpoint twice, a full list may not.
+/// Returns the revision of an endpoint list after checking its structure. Entries are validated when they are stored.
+/// An incremental update may list an endpoint twice, a full list may not.
 fn checked_revision(list: &Json, update: EndpointUpdate) -> Result<u64, DiscoveryError> {
     let revision = list["revision"].as_u64().ok_or(DiscoveryError::RevisionInvalid)?;
     let members = list["members"].as_array().ok_or(DiscoveryError::MembersInvalid)?;
--- a/crates/query-router/src/router/connection/mod.rs
+++ b/crates/query-router/src/router/connection/mod.rs
@@ -1,4 +1,4 @@
-//! The states of all connections, and the table that holds them.
+//! The state of each kind of connection, and the table of all connections.
 
 pub mod arrival_times;
 pub mod client;
@@ -13,30 +13,30 @@
 use node::NodeConnection;
 use slab::Slab;
 
-/// A connection of any kind.
+/// The state of a connection of any kind.
 #[derive(Debug)]
 pub enum Connection {
-    /// Of a client.
+    /// A connection that a client opened.
     Client(ClientConnection),
-    /// To a data node.
+    /// A connection to a data node.
     Node(Box<NodeConnection>),
-    /// To discovery.
+    /// A connection to discovery, which carries one request.
     Discovery(DiscoveryRequest),
 }
 
 /// The kind of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionKind {
-    /// Of a client.
+    /// A connection that a client opened.
     Client,
-    /// To a data node.
+    /// A connection to a data node.
     Node,
-    /// To discovery.
+    /// A connection to discovery.
     Discovery,
 }
 
 impl Connection {
-    /// The kind of the connection.
+    /// Returns the kind of the connection.
     pub fn kind(&self) -> ConnectionKind {
         match self {
             Connection::Client(_) => ConnectionKind::Client,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Since when it could be evicted, if it may be.
+    /// Returns the time since which the connection is idle; `None` if it may not be evicted.
     fn idle_since(&self) -> Option<Micros> {
         match self {
             Connection::Client(client) => client.idle_since(),
@@ -61,39 +61,39 @@
     timer_at: Option<Micros>,
 }
 
-/// All connections by their ids, each with the time of its timer.
+/// All connections by id, each with the time of its timer.
 #[derive(Debug, Default)]
 pub struct ConnectionTable {
     slots: Slab<Slot>,
 }
 
 impl ConnectionTable {
-    /// The number of connections.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.slots.len()
     }
 
-    /// Adds a connection; its id is unused until then.
+    /// Adds a connection and returns its id, which may have belonged to an earlier connection.
     pub fn insert(&mut self, connection: Connection) -> ConnectionId {
         ConnectionId(self.slots.insert(Slot { connection, timer_at: None }))
     }
 
-    /// Removes a connection; its id may be used again.
+    /// Removes and returns a connection. Its id may be reused.
     pub fn remove(&mut self, id: ConnectionId) -> Connection {
         self.slots.remove(id.0).connection
     }
 
-    /// Sets the time of the connection's timer; returns the time before.
+    /// Sets the time of the connection's timer; `None` means no timer. Returns the previous time.
     pub fn set_timer_at(&mut self, id: ConnectionId, at: Option<Micros>) -> Option<Micros> {
         std::mem::replace(&mut self.slots[id.0].timer_at, at)
     }
 
-    /// The kind of a connection, `None` if there is none with this id.
+    /// Returns the kind of a connection; `None` if there is none with this id.
     pub fn kind(&self, id: ConnectionId) -> Option<ConnectionKind> {
         self.slots.get(id.0).map(|slot| slot.connection.kind())
     }
 
-    /// The client connection with this id, which must be one.
+    /// Returns the client connection with this id. Panics if there is none.
     pub fn client_mut(&mut self, id: ConnectionId) -> &mut ClientConnection {
         match &mut self.slots[id.0].connection {
             Connection::Client(client) => client,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The node connection with this id, which must be one.
+    /// Returns the node connection with this id. Panics if there is none.
     pub fn node_mut(&mut self, id: ConnectionId) -> &mut NodeConnection {
         match &mut self.slots[id.0].connection {
             Connection::Node(node) => node,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The node connection with this id, if it is one.
+    /// Returns the node connection with this id; `None` if there is none.
     pub fn node(&self, id: ConnectionId) -> Option<&NodeConnection> {
         match &self.slots.get(id.0)?.connection {
             Connection::Node(node) => Some(node),
@@ -117,7 +117,7 @@
         }
     }
 
-    /// The request to discovery with this id, which must be one.
+    /// Returns the discovery request on the connection with this id. Panics if there is none.
     pub fn discovery_mut(&mut self, id: ConnectionId) -> &mut DiscoveryRequest {
         match &mut self.slots[id.0].connection {
             Connection::Discovery(request) => request,
@@ -125,18 +125,18 @@
         }
     }
 
-    /// The ids of all connections, in order.
+    /// Returns the ids of all connections, in order.
     #[cfg(test)]
     pub fn ids(&self) -> impl Iterator<Item = ConnectionId> + '_ {
         self.slots.iter().map(|(index, _)| ConnectionId(index))
     }
 
-    /// All connections, in the order of their ids.
+    /// Returns all connections, in the order of their ids.
     fn iter(&self) -> impl Iterator<Item = (ConnectionId, &Connection)> {
         self.slots.iter().map(|(index, slot)| (ConnectionId(index), &slot.connection))
     }
 
-    /// All client connections, in the order of their ids.
+    /// Returns all client connections, in the order of their ids.
     pub fn clients(&self) -> impl Iterator<Item = (ConnectionId, &ClientConnection)> {
         self.iter().filter_map(|(id, connection)| match connection {
             Connection::Client(client) => Some((id, client)),
@@ -144,7 +144,7 @@
         })
     }
 
-    /// All node connections, in the order of their ids.
+    /// Returns all node connections, in the order of their ids.
     pub fn nodes(&self) -> impl Iterator<Item = (ConnectionId, &NodeConnection)> {
         self.iter().filter_map(|(id, connection)| match connection {
             Connection::Node(node) => Some((id, &**node)),
@@ -152,7 +152,7 @@
         })
     }
 
-    /// All polls of discovery, in the order of their ids.
+    /// Returns the connections of all polls in progress, in the order of their ids.
     pub fn polls(&self) -> impl Iterator<Item = ConnectionId> + '_ {
         self.iter().filter_map(|(id, connection)| match connection {
             Connection::Discovery(request) if request.kind == RequestKind::Poll => Some(id),
@@ -160,12 +160,12 @@
         })
     }
 
-    /// The number of client connections that the event loop closes if they are idle.
-    pub fn closing_if_idle(&self) -> usize {
+    /// Returns the number of evicted client connections that the event loop has not closed yet.
+    pub fn closing_if_idle_count(&self) -> usize {
         self.clients().filter(|(_, client)| client.state == ClientState::ClosingIfIdle).count()
     }
 
-    /// The connection that has been idle for longest.
+    /// Returns the connection that has been idle for longest; `None` if none may be evicted.
     pub fn longest_idle(&self) -> Option<ConnectionId> {
         let idle = self.iter().filter_map(|(id, connection)| Some((connection.idle_since()?, id)));
         idle.min().map(|(_, id)| id)
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -1,4 +1,4 @@
-//! The state of a node connection: what is queued for it, what is in flight on it, and whether it can be reused.
+//! The state of a node connection: queued frames, attempts in flight, health checks, and whether it can be reused.
 
 use crate::router::connection::outgoing_queue::{HealthCheckKind, OutgoingFrame, OutgoingQueue};
 use balancer::{AttemptId, Micros, NodeId};
@@ -6,20 +6,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// How far into a malformed frame the id of its shard request is searched for.
-const FRAME_START_BYTES: usize = 256;
+/// The length of the start of a malformed or partial frame that is searched for the id of a shard request.
+const ID_SEARCH_BYTES: usize = 256;
 
-/// Whether a node connection is established.
+/// Whether a node connection is established, and since when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Establishment {
     /// The event loop is connecting.
     Connecting {
-        /// When the connection was requested.
+        /// The time at which the connection was requested.
         since: Micros,
     },
-    /// It can be written to.
+    /// Frames can be written to the connection.
     Established {
-        /// When it was established.
+        /// The time at which the connection was established.
         since: Micros,
     },
 }
@@ -27,93 +27,93 @@
 /// How far an attempt was sent when it was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum SendProgress {
-    /// Removed before its first byte was written.
+    /// The attempt was removed before its first byte was written.
     NotSent,
-    /// Its frame is not known to be written in full: the attempt ends with the connection.
+    /// The frame of the attempt is not known to be written in full. The attempt ends with the connection.
     PartlyWritten,
-    /// Written in full; a cancellation is queued for the node.
+    /// The frame of the attempt was written in full; a cancellation is queued for the node.
     Sent,
 }
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseCause {
-    /// The node closed it, or it broke.
+    /// The node closed the connection, or the connection failed.
     Remote,
-    /// This router closes it.
+    /// The router closes the connection.
     Local,
-    /// This router closes it since the response to this attempt could not be read.
+    /// The router closes the connection because the response to this attempt is malformed.
     MalformedResponse(AttemptId),
 }
 
-/// An attempt that was handed to the event loop.
+/// An attempt whose frame was passed to the event loop, and which has no response yet.
 #[derive(Debug)]
 pub struct InFlight {
     /// The shard request's id on the wire.
     pub id: Rc<str>,
     /// The attempt that was sent.
     pub attempt: AttemptId,
-    /// How many bytes are written on the connection once its frame is written in full.
+    /// The offset of the end of the attempt's frame in all bytes written on the connection.
     pub end_offset: u64,
 }
 
-/// A frame of which only the start was received.
+/// A frame that was received in part.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialFrame {
-    /// When the start was received.
+    /// The arrival time of the start.
     pub since: Micros,
-    /// The attempt in flight that it names, if any.
+    /// The attempt in flight whose shard request the frame names, if any.
     pub attempt: Option<AttemptId>,
 }
 
-/// A connection to a data node.
+/// The state of a connection to a data node.
 #[derive(Debug)]
 pub struct NodeConnection {
-    /// The node that it leads to.
+    /// The node to which the connection leads.
     pub node: NodeId,
-    /// The address that the connection leads to.
+    /// The address to which the connection leads. The node may have another one by now.
     pub address: SocketAddr,
-    /// Whether it is established, and since when.
+    /// Whether the connection is established, and since when.
     establishment: Establishment,
-    /// Whether this machine could not open it at first.
-    delayed_locally: bool,
-    /// Since when it counts as idle, if it is idle.
+    /// Whether a local shortage has delayed the connection attempt.
+    local_shortage: bool,
+    /// The time since which the connection counts as idle. Meaningful only while it is idle.
     idle_from: Micros,
     queue: OutgoingQueue,
-    /// How many bytes were handed to the event loop.
-    bytes_handed_over: u64,
-    /// How many of them are known to be written.
+    /// The number of bytes that were passed to the event loop.
+    bytes_submitted: u64,
+    /// The number of submitted bytes that are known to be written.
     bytes_flushed: u64,
     /// The attempts in flight, oldest first.
     in_flight: Vec<InFlight>,
-    /// The ids of the shard requests last cancelled on the connection, to which a response may still come.
+    /// The ids of the shard requests last cancelled on the connection, to which a response may still arrive.
     cancelled: VecDeque<Rc<str>>,
-    /// The id of the shard request last answered on the connection.
+    /// The id of the shard request to which the last response on the connection belongs.
     last_answered: Option<Rc<str>>,
-    /// Whether further batches may be sent. False once a response came that belongs to no shard request sent here, or
-    /// once an expected response did not come.
+    /// Whether further batches may be sent. False after a response that belongs to no shard request sent on the
+    /// connection, and after an overdue response.
     reusable: bool,
-    /// When the last complete frame was received.
+    /// The arrival time of the last complete frame; 0 if there was none.
     last_frame_at: Micros,
-    /// The frame of which only the start was received.
+    /// The frame that was received in part, if there is one.
     partial_frame: Option<PartialFrame>,
-    /// Why it ends.
+    /// Why the connection ends. [`CloseCause::Remote`] unless the router closes it.
     close_cause: CloseCause,
-    /// The deadlines of the unanswered health checks, oldest first.
+    /// The deadlines of the health checks without a response, oldest first.
     health_check_deadlines: VecDeque<Micros>,
 }
 
 impl NodeConnection {
-    /// A connection that is about to be established.
+    /// Creates the state of a connection that is requested at `now`.
     pub fn new(node: NodeId, address: SocketAddr, now: Micros) -> NodeConnection {
         NodeConnection {
             node,
             address,
             establishment: Establishment::Connecting { since: now },
-            delayed_locally: false,
+            local_shortage: false,
             idle_from: now,
             queue: OutgoingQueue::default(),
-            bytes_handed_over: 0,
+            bytes_submitted: 0,
             bytes_flushed: 0,
             in_flight: Vec::new(),
             cancelled: VecDeque::new(),
@@ -126,33 +126,33 @@
         }
     }
 
-    /// Whether the connection is established, and since when.
+    /// Returns whether the connection is established, and since when.
     pub fn establishment(&self) -> Establishment {
         self.establishment
     }
 
-    /// Notes that this machine, and not the node, keeps the connection from being established.
-    pub fn set_delayed_locally(&mut self) {
-        self.delayed_locally = true;
+    /// Records that a local shortage, and not the node, delays the connection attempt.
+    pub fn set_local_shortage(&mut self) {
+        self.local_shortage = true;
     }
 
-    /// Whether this machine, and not the node, kept the connection from being established.
-    pub fn is_delayed_locally(&self) -> bool {
-        self.delayed_locally && !self.is_established()
+    /// Returns whether a local shortage has delayed the connection attempt and it is not established.
+    pub fn has_local_shortage(&self) -> bool {
+        self.local_shortage && !self.is_established()
     }
 
-    /// Notes that the connection is established.
+    /// Records that the connection is established.
     pub fn set_established(&mut self, now: Micros) {
         self.establishment = Establishment::Established { since: now };
     }
 
-    /// Whether the connection is established.
+    /// Returns whether the connection is established.
     pub fn is_established(&self) -> bool {
         matches!(self.establishment, Establishment::Established { .. })
     }
 
-    /// Since when it has been idle: established, with nothing queued and no response expected. `None` if it is not
-    /// idle.
+    /// Returns the time since which the connection is idle: established, with nothing queued, in flight or checked.
+    /// `None` if it is not idle.
     pub fn idle_since(&self) -> Option<Micros> {
         let idle = self.is_established()
             && self.in_flight.is_empty()
@@ -161,66 +161,66 @@
         idle.then_some(self.idle_from)
     }
 
-    /// Restarts the idle time, after an event on an idle connection.
+    /// Sets the time since which the connection counts as idle to `now`.
     pub fn restart_idle_time(&mut self, now: Micros) {
         self.idle_from = now;
     }
 
-    /// Whether further batches may be sent.
+    /// Returns whether further batches may be sent.
     pub fn is_reusable(&self) -> bool {
         self.reusable
     }
 
-    /// Rules out that further batches are sent.
+    /// Forbids further batches on the connection.
     pub fn forbid_reuse(&mut self) {
         self.reusable = false;
     }
 
-    /// Why the connection ends.
+    /// Returns why the connection ends.
     pub fn close_cause(&self) -> CloseCause {
         self.close_cause
     }
 
-    /// Notes that this router closes the connection on account of bytes that cannot be used. Returns the attempt whose
-    /// response counts as malformed: the one `named` in the bytes, or else the oldest in flight, if there is one.
+    /// Sets the cause of the close after malformed bytes. Returns the attempt whose response counts as malformed: the
+    /// one `named` in the bytes, or else the oldest in flight. `None` if no attempt is in flight.
     pub fn set_malformed(&mut self, named: Option<AttemptId>) -> Option<AttemptId> {
         let malformed = named.or(self.in_flight.first().map(|sent| sent.attempt));
         self.close_cause = malformed.map_or(CloseCause::Local, CloseCause::MalformedResponse);
         malformed
     }
 
-    /// The number of attempts that are queued or in flight.
-    pub fn load(&self) -> usize {
+    /// Returns the number of attempts that are queued or in flight.
+    pub fn attempt_count(&self) -> usize {
         self.in_flight.len() + self.queue.attempts().count()
     }
 
-    /// Notes that the event loop has written everything that was handed to it.
+    /// Records that the event loop has written all submitted bytes.
     pub fn set_flushed(&mut self) {
-        self.bytes_flushed = self.bytes_handed_over;
+        self.bytes_flushed = self.bytes_submitted;
     }
 
-    /// Whether everything handed to the event loop is known to be written.
+    /// Returns whether all submitted bytes are known to be written.
     pub fn is_flushed(&self) -> bool {
-        self.bytes_flushed >= self.bytes_handed_over
+        self.bytes_flushed >= self.bytes_submitted
     }
 
-    /// The frames of which no byte is written.
+    /// Returns the frames of which no byte has been passed to the event loop.
     pub fn queue(&self) -> &OutgoingQueue {
         &self.queue
     }
 
-    /// The frames of which no byte is written.
+    /// Returns the frames of which no byte has been passed to the event loop.
     pub fn queue_mut(&mut self) -> &mut OutgoingQueue {
         &mut self.queue
     }
 
-    /// Whether the node may send something although nothing more is sent to it.
+    /// Returns whether a response to an earlier frame may still arrive.
     pub fn awaits_response(&self) -> bool {
         !(self.in_flight.is_empty() && self.health_check_deadlines.is_empty() && self.cancelled.is_empty())
     }
 
-    /// Whether a response to the shard request with this id may come on the connection.
-    pub fn may_answer(&self, request_id: &str) -> bool {
+    /// Returns whether a response to the shard request with this id may still arrive on the connection.
+    pub fn may_receive_response_to(&self, request_id: &str) -> bool {
         self.cancelled.iter().chain(self.in_flight.iter().map(|sent| &sent.id)).any(|id| **id == *request_id)
     }
 
@@ -229,8 +229,8 @@
         self.queue.push(OutgoingFrame::Batch(attempts));
     }
 
-    /// Queues a health check that must be answered by `deadline`. Returns its deadline, which is later if the one
-    /// before has the same: a timer stands for one health check.
+    /// Queues a health check whose response must arrive by `deadline`. Returns the actual deadline, which is later than
+    /// that of the health check before, so that each timer belongs to one health check.
     pub fn queue_health_check(&mut self, kind: HealthCheckKind, deadline: Micros) -> Micros {
         let last_deadline = self.health_check_deadlines.back();
         let deadline = last_deadline.map_or(deadline, |last| deadline.max(last + 1));
@@ -239,15 +239,17 @@
         deadline
     }
 
-    /// Removes the oldest unanswered health check. Returns its deadline.
+    /// Removes the oldest health check without a response. Returns its deadline; `None` if there is none.
     pub fn pop_health_check(&mut self) -> Option<Micros> {
         self.health_check_deadlines.pop_front()
     }
 
-    /// Cancels an attempt; a cancellation is queued for one that was written. Keeps the ids of at most `max_cancelled`
-    /// shard requests to which a response may still come. `unanswered_since` is when the attempt was requested if its
-    /// response should have come by now. Guards against a connection that fell silent while its node is well: one that
-    /// has received no frame since then is not reused.
+    /// Cancels an attempt, and queues a cancellation frame if the attempt was written in full. Keeps the ids of at most
+    /// `max_cancelled` shard requests to which a response may still arrive.
+    ///
+    /// `unanswered_since` is the time at which the attempt was requested if its response is overdue, and `None` if it
+    /// is not. A connection on which no frame has arrived since then is not reused, since it may have failed without
+    /// notice although its node is healthy.
     pub fn cancel(
         &mut self, attempt: AttemptId, request_id: &Rc<str>, max_cancelled: usize,
         unanswered_since: Option<Micros>,
@@ -273,14 +275,14 @@
         SendProgress::Sent
     }
 
-    /// Notes that a frame of `length` bytes was handed to the event loop. Returns how many bytes are written on the
-    /// connection once the frame is.
-    pub fn add_handed_over(&mut self, length: usize) -> u64 {
-        self.bytes_handed_over += length as u64;
-        self.bytes_handed_over
+    /// Adds a frame of `length` bytes to the submitted bytes. Returns the offset of its end in all bytes written on the
+    /// connection.
+    pub fn add_submitted(&mut self, length: usize) -> u64 {
+        self.bytes_submitted += length as u64;
+        self.bytes_submitted
     }
 
-    /// Adds attempts that were handed to the event loop to those in flight.
+    /// Adds attempts whose frame was passed to the event loop to those in flight.
     pub fn add_in_flight(&mut self, sent: impl IntoIterator<Item = InFlight>) {
         self.in_flight.extend(sent);
     }
@@ -290,7 +292,8 @@
         std::mem::take(&mut self.in_flight)
     }
 
-    /// Removes the attempt in flight at the shard request with this id, which was answered.
+    /// Removes the attempt in flight at the shard request with this id, to which a response has arrived. `None` if no
+    /// such attempt is in flight.
     pub fn take_answered(&mut self, request_id: &str) -> Option<AttemptId> {
         let index = self.in_flight.iter().position(|sent| &*sent.id == request_id)?;
         let sent = self.in_flight.remove(index);
@@ -298,9 +301,9 @@
         Some(sent.attempt)
     }
 
-    /// Notes a response to a shard request that is not in flight. Unless the shard request was cancelled on the
-    /// connection, the connection is not reused. Returns whether the response may be ignored: it may if the connection
-    /// can still be reused, or if it repeats the last response.
+    /// Handles a response to a shard request that is not in flight. Unless the shard request was cancelled on the
+    /// connection, the connection is not reused. Returns whether the response can be ignored: either the connection can
+    /// still be reused, or the response repeats the last one.
     pub fn ignore_late_response(&mut self, request_id: &str) -> bool {
         let index = self.cancelled.iter().position(|known| **known == *request_id);
         if index.and_then(|index| self.cancelled.remove(index)).is_none() {
@@ -309,13 +312,13 @@
         self.reusable || self.last_answered.as_deref() == Some(request_id)
     }
 
-    /// The frame of which only the start was received.
+    /// Returns the frame that was received in part, if there is one.
     pub fn partial_frame(&self) -> Option<PartialFrame> {
         self.partial_frame
     }
 
-    /// Notes that received bytes were read: `consumed` bytes of complete frames, and `rest`, the start of another.
-    pub fn note_received(&mut self, now: Micros, consumed: usize, rest: &[u8]) {
+    /// Records `consumed` bytes of complete frames that were read, and `rest`, the start of the next frame.
+    pub fn record_received(&mut self, now: Micros, consumed: usize, rest: &[u8]) {
         let since = self.partial_frame.filter(|_| consumed == 0).map_or(now, |partial| partial.since);
         let attempt = self.attempt_named_in(rest);
         self.partial_frame = (!rest.is_empty()).then_some(PartialFrame { since, attempt });
@@ -324,14 +327,14 @@
         }
     }
 
-    /// Whether an attempt was sent on the connection and is known to be written in full.
+    /// Returns whether an attempt is in flight on the connection and known to be written in full.
     pub fn has_written(&self, attempt: AttemptId) -> bool {
         self.in_flight.iter().any(|sent| sent.attempt == attempt && sent.end_offset <= self.bytes_flushed)
     }
 
-    /// The attempt in flight whose shard request is named at the start of these bytes.
+    /// Returns the attempt in flight whose shard request is named at the start of these bytes, if any.
     pub fn attempt_named_in(&self, bytes: &[u8]) -> Option<AttemptId> {
-        let start = &bytes[..bytes.len().min(FRAME_START_BYTES)];
+        let start = &bytes[..bytes.len().min(ID_SEARCH_BYTES)];
         let named =
             |sent: &&InFlight| start.windows(sent.id.len()).any(|window| window == sent.id.as_bytes());
         self.in_flight.iter().find(named).map(|sent| sent.attempt)
--- a/crates/query-router/src/router/connection/outgoing_queue.rs
+++ b/crates/query-router/src/router/connection/outgoing_queue.rs
@@ -1,4 +1,4 @@
-//! The frames that are queued for a data node. No byte of them is written, so they can still be removed.
+//! The queue of frames for a data node of which no byte has been written, so that they can still be removed.
 
 use balancer::AttemptId;
 use std::collections::VecDeque;
@@ -7,46 +7,46 @@
 /// The kind of a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HealthCheckKind {
-    /// Asks whether the node is healthy.
+    /// A check of the node's health alone.
     Health,
-    /// Asks for the load of the node, where health checks report the load.
+    /// A check whose response also states the node's load, where health checks report the load.
     Load,
 }
 
-/// Something to be written to a data node.
+/// A frame to be written to a data node.
 #[derive(Debug)]
 pub enum OutgoingFrame {
-    /// The attempts of one batch.
+    /// A batch of attempts.
     Batch(Vec<AttemptId>),
-    /// The shard request with this id is cancelled.
+    /// A cancellation of the shard request with this id.
     Cancellation(Rc<str>),
     /// A health check.
     HealthCheck(HealthCheckKind),
 }
 
-/// A queue of frames.
+/// The queued frames of a node connection, in the order in which they are written.
 #[derive(Debug, Default)]
 pub struct OutgoingQueue {
     frames: VecDeque<OutgoingFrame>,
 }
 
 impl OutgoingQueue {
-    /// Whether no frame is queued.
+    /// Returns whether no frame is queued.
     pub fn is_empty(&self) -> bool {
         self.frames.is_empty()
     }
 
-    /// Adds a frame.
+    /// Adds a frame at the end.
     pub fn push(&mut self, frame: OutgoingFrame) {
         self.frames.push_back(frame);
     }
 
-    /// Removes and returns the first frame.
+    /// Removes and returns the first frame; `None` if the queue is empty.
     pub fn pop(&mut self) -> Option<OutgoingFrame> {
         self.frames.pop_front()
     }
 
-    /// The attempts of all batches, in order.
+    /// Returns the attempts of all batches, in order.
     pub fn attempts(&self) -> impl Iterator<Item = AttemptId> + '_ {
         let batches = self.frames.iter().filter_map(|frame| match frame {
             OutgoingFrame::Batch(attempts) => Some(attempts),
@@ -55,7 +55,7 @@
         batches.flatten().copied()
     }
 
-    /// The attempts of the first batch.
+    /// Returns the attempts of the first batch; `None` if no batch is queued.
     pub fn first_batch(&self) -> Option<&[AttemptId]> {
         self.frames.iter().find_map(|frame| match frame {
             OutgoingFrame::Batch(attempts) => Some(attempts.as_slice()),
@@ -63,7 +63,7 @@
         })
     }
 
-    /// Removes the first batch and returns its attempts.
+    /// Removes the first batch and returns its attempts; `None` if no batch is queued.
     pub fn take_first_batch(&mut self) -> Option<Vec<AttemptId>> {
         let index = self.frames.iter().position(|frame| matches!(frame, OutgoingFrame::Batch(_)))?;
         match self.frames.remove(index) {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Removes an attempt, and its batch if no other attempt is in it.
+    /// Removes an attempt from its batch, and the batch if it is empty then.
     pub fn remove(&mut self, attempt: AttemptId) {
         self.frames.retain_mut(|frame| match frame {
             OutgoingFrame::Batch(attempts) => {
--- a/crates/query-router/src/router/context.rs
+++ b/crates/query-router/src/router/context.rs
@@ -1,5 +1,5 @@
-//! The state that all components of the router share: the time, the effects asked for, counters, timers, connections
-//! and endpoints. Opens and closes connections within the limit on descriptors.
+//! The state that all components of the router share: the time, the queued effects, counters, timers, connections and
+//! endpoints. Opens and closes connections within the limit on file descriptors.
 
 use crate::config::Config;
 use crate::counters::Counters;
@@ -7,28 +7,28 @@
 use crate::router::connection::client::ClientState;
 use crate::router::connection::{Connection, ConnectionKind, ConnectionTable};
 use crate::router::endpoints::Endpoints;
-use crate::router::rules::{self, Subject};
+use crate::router::rules::{self, CheckedAction};
 use crate::router::shutdown::Shutdown;
 use crate::router::timers::{Timer, Timers};
 use balancer::{Micros, NodeId};
 
-/// File descriptors that are not connections: the standard streams, the listener, those of the event loop, and one that
-/// was accepted and has no id yet.
-const OTHER_DESCRIPTORS: usize = 16;
-/// The most client connections that may be closing at a time, so that new ones in their place stay within the limit on
-/// descriptors.
-const MAX_CLOSING: usize = OTHER_DESCRIPTORS / 2;
+/// File descriptors that no connection in the table uses: the standard streams, the listener, those of the event loop,
+/// and one for a client that was accepted and has no connection id yet.
+const RESERVED_DESCRIPTORS: usize = 16;
+/// The most client connections in [`ClientState::ClosingIfIdle`] at a time. Their successors are opened before they are
+/// closed, so more of them could exceed the limit on file descriptors.
+const MAX_CLOSING: usize = RESERVED_DESCRIPTORS / 2;
 
-/// Limits that the configuration states.
+/// Limits from the configuration.
 #[derive(Debug)]
 pub struct Limits {
     /// The most connections of all kinds.
     pub max_connections: usize,
     /// The most shard requests queued or in flight on one node connection.
     pub max_requests_per_connection: usize,
-    /// How long a connection may take to be established, and a frame to be received in full.
+    /// The time within which a connection must be established, and a frame received in full.
     pub connect_timeout: Micros,
-    /// After how long an idle node connection is closed.
+    /// The time after which an idle node connection is closed.
     pub idle_timeout: Micros,
     /// The shortest time between two decisions of the balancer.
     pub decision_interval: Micros,
@@ -40,38 +40,39 @@
         let connect_timeout = limits.connect_timeout.unwrap_or(0);
         let idle_timeout = limits.idle_timeout;
         Limits {
-            max_connections: config.max_sockets.saturating_sub(OTHER_DESCRIPTORS).max(1),
+            max_connections: config.max_sockets.saturating_sub(RESERVED_DESCRIPTORS).max(1),
             max_requests_per_connection: limits.max_requests_per_connection,
             connect_timeout,
-            // Closed here before the data node may: a request that crosses its close would be a reset.
+            // The router closes a connection before the data node may: a request sent while the node closes meets a
+            // reset.
             idle_timeout: (idle_timeout - connect_timeout).max(idle_timeout / 2),
             decision_interval: config.settings.decision_interval,
         }
     }
 }
 
-/// The shared state.
+/// The state that all components share.
 pub struct Context {
-    /// The time of the current event.
+    /// The time of the current event or decision.
     pub now: Micros,
-    /// The effects that the event loop is to carry out, in order.
+    /// The effects that the event loop has not taken yet, in order.
     pub effects: Vec<Effect>,
-    /// The counters since the start.
+    /// The counters since the start of the router.
     pub counters: Counters,
-    /// All timers.
+    /// The timers that have not expired.
     pub timers: Timers,
-    /// All connections.
+    /// The connections of all kinds.
     pub connections: ConnectionTable,
-    /// All endpoints.
+    /// The endpoints that discovery has listed.
     pub endpoints: Endpoints,
-    /// The progress of a graceful shutdown.
+    /// The phase of a graceful shutdown.
     pub shutdown: Shutdown,
-    /// Limits of the configuration.
+    /// The limits from the configuration.
     pub limits: Limits,
 }
 
 impl Context {
-    /// The context of a router that starts now.
+    /// Creates the context of a router that starts at `now`.
     pub fn new(config: &Config, now: Micros) -> Context {
         Context {
             now,
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Sets or removes a connection's timer, in place of the time before.
+    /// Replaces the timer of a connection; `None` removes it.
     pub fn set_connection_timer(&mut self, id: ConnectionId, at: Option<Micros>) {
         if let Some(previous) = self.connections.set_timer_at(id, at) {
             self.timers.remove(previous, Timer::Connection(id));
@@ -95,12 +96,12 @@
         }
     }
 
-    /// Adds a connection if the limit allows one more. At the limit it closes the connection that has been idle for
-    /// longest.
+    /// Adds a connection. At the limit on connections, the one that has been idle for longest is closed first. Returns
+    /// `None` if the limit is reached and no connection can be closed.
     pub fn open(&mut self, connection: Connection) -> Option<ConnectionId> {
         let max_connections = self.limits.max_connections;
         if self.connections.len() >= max_connections {
-            let closing = self.connections.closing_if_idle();
+            let closing = self.connections.closing_if_idle_count();
             let is_full = self.connections.len() - closing >= max_connections;
             if is_full && (closing >= MAX_CLOSING || !self.evict_longest_idle()) {
                 return None;
@@ -111,52 +112,54 @@
         Some(id)
     }
 
-    /// Closes the connection that has been idle for longest, of a client or to a node. Returns false if none is idle.
+    /// Closes the client or node connection that has been idle for longest. Returns false if none is idle.
     fn evict_longest_idle(&mut self) -> bool {
         let Some(id) = self.connections.longest_idle() else { return false };
         match self.connections.kind(id) {
             Some(ConnectionKind::Client) => self.evict_client(id),
-            _ => self.close_idle_node(id),
+            _ => self.close_idle_node_connection(id),
         }
         true
     }
 
-    /// Whether this router may close a client's connection of its own accord.
+    /// Returns whether the router may close a client connection now; counts and logs the violation if not.
     pub fn may_close_client(&mut self, id: ConnectionId) -> bool {
         let allowed = rules::may_close(self.connections.client_mut(id));
-        let subject = Subject { action: "close client", connection: Some(id), ..Subject::default() };
-        rules::permitted(&mut self.counters, subject, allowed)
+        let checked =
+            CheckedAction { action: "close client", connection: Some(id), ..CheckedAction::default() };
+        rules::permitted(&mut self.counters, checked, allowed)
     }
 
-    /// Closes an idle client connection. Guards against losing a request that was received and not read yet: the event
-    /// loop closes the connection only if there is none.
+    /// Evicts an idle client connection. The event loop closes it only if no received bytes are unread, so that no
+    /// request is lost.
     pub fn evict_client(&mut self, id: ConnectionId) {
         if !self.may_close_client(id) {
             return;
         }
-        tracing::debug!(connection = id.0, "idle client evicted");
+        tracing::debug!(connection = id.0, "idle client connection evicted");
         self.counters.client_connections_evicted += 1;
         self.connections.client_mut(id).state = ClientState::ClosingIfIdle;
         self.effects.push(Effect::CloseIfIdle(id));
     }
 
-    /// Closes an idle node connection.
-    pub fn close_idle_node(&mut self, id: ConnectionId) {
+    /// Closes and counts an idle node connection.
+    pub fn close_idle_node_connection(&mut self, id: ConnectionId) {
         self.counters.node_connections_closed_idle += 1;
-        self.close_node(id);
+        self.close_node_connection(id);
     }
 
     /// Closes all idle connections to a node.
-    pub fn close_idle_nodes(&mut self, node: NodeId) {
+    pub fn close_idle_connections_to(&mut self, node: NodeId) {
         for id in self.endpoints[node].connections.clone() {
             if self.connections.node_mut(id).idle_since().is_some() {
-                self.close_idle_node(id);
+                self.close_idle_node_connection(id);
             }
         }
     }
 
-    /// Closes and removes a node connection; frees its node's id with the last one if the balancer has released it.
-    pub fn close_node(&mut self, id: ConnectionId) {
+    /// Closes and removes a node connection. With the last connection of a node that the balancer has released, the id
+    /// of the node becomes free.
+    pub fn close_node_connection(&mut self, id: ConnectionId) {
         let node = self.connections.node_mut(id).node;
         self.endpoints[node].connections.retain(|&other| other != id);
         self.close(id);
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Discovery: polls and watches of the endpoint list, when a watch is started again, and how an update is applied.
+//! Discovery: polls and watches of the endpoint list, restarts of a watch, and storing of endpoint updates.
 
 mod backoff;
 
@@ -16,36 +16,37 @@
 use settings_schema::EndpointEntry;
 use std::net::SocketAddr;
 
-/// The time without a message after which a request counts as silent.
+/// The time without a complete message after which a request times out.
 const SILENCE_TIMEOUT: Micros = 2 * HEARTBEAT_INTERVAL;
 
-/// The result of a request to discovery that has ended or received nothing for too long.
+/// The result of a request to discovery that has ended or timed out.
 #[derive(Debug)]
-pub enum RequestEnd {
-    /// A poll brought a list.
+pub enum RequestOutcome {
+    /// A poll returned a full endpoint list.
     List(EndpointList),
-    /// A watch that worked received nothing for too long and has been started again.
+    /// A watch that had received messages timed out and was restarted.
     WatchRestarted,
-    /// The request has failed, which is to be reported to the balancer.
+    /// The request failed, which must be reported to the balancer.
     Failed,
 }
 
-/// The requests to discovery.
+/// The state that concerns all requests to discovery together.
 pub struct Discovery {
     address: SocketAddr,
     mode: DiscoveryMode,
-    /// The revision of the last update applied.
+    /// The revision of the last update that was applied; 0 after a change of the address.
     revision: u64,
     watch: Option<ConnectionId>,
     backoff: WatchBackoff,
-    /// The names of the zones, by index.
+    /// The names of the zones by index, as configured.
     zones: Vec<String>,
-    /// How many requests failed because no connection could be opened and were not reported to the balancer yet.
+    /// The number of requests that failed because no connection could be opened and that have not been reported to the
+    /// balancer.
     unreported_failures: usize,
 }
 
 impl Discovery {
-    /// Requests to the discovery of this configuration; none is sent yet.
+    /// Creates the state for the discovery address of the configuration. No request is sent yet.
     pub fn new(config: &Config) -> Discovery {
         Discovery {
             address: config.discovery,
@@ -58,20 +59,20 @@
         }
     }
 
-    /// Starts the watch that lasts for as long as the router runs, where lists are pushed.
+    /// Starts a watch that lasts for as long as the router runs, if endpoint lists are pushed.
     pub fn start(&mut self, context: &mut Context) {
         if self.mode == DiscoveryMode::Pushed {
             self.start_watch(context);
         }
     }
 
-    /// Starts a watch in place of the one before.
+    /// Starts a watch that replaces the current one.
     pub fn start_watch(&mut self, context: &mut Context) {
         self.stop_watch(context);
         self.watch = self.request(context, RequestKind::Watch);
     }
 
-    /// Ends the watch. Guards against a retry that was scheduled for an earlier watch and would replace the next one.
+    /// Ends the watch and cancels a scheduled retry, which would otherwise replace a later watch.
     pub fn stop_watch(&mut self, context: &mut Context) {
         if let Some(id) = self.watch.take() {
             context.close(id);
@@ -79,13 +80,13 @@
         self.backoff.cancel(context);
     }
 
-    /// Asks for the full endpoint list once.
+    /// Requests the full endpoint list once. Returns `None` if no connection can be opened.
     pub fn poll(&mut self, context: &mut Context) -> Option<ConnectionId> {
         self.request(context, RequestKind::Poll)
     }
 
-    /// Connects to discovery. A request for which no connection can be opened fails as any other does, before the next
-    /// decision.
+    /// Opens a connection for a request to discovery. If none can be opened, the failure is reported to the balancer
+    /// before its next decision.
     fn request(&mut self, context: &mut Context, kind: RequestKind) -> Option<ConnectionId> {
         context.counters.discovery_requests += 1;
         let request = DiscoveryRequest::new(kind, context.now);
@@ -98,18 +99,18 @@
         Some(id)
     }
 
-    /// Whether there are failures that were not reported to the balancer yet.
+    /// Returns whether there are failures that have not been reported to the balancer.
     pub fn has_unreported_failures(&self) -> bool {
         self.unreported_failures > 0
     }
 
-    /// Takes the number of failures that were not reported to the balancer yet.
+    /// Returns the number of failures that have not been reported to the balancer, and resets it.
     pub fn take_unreported_failures(&mut self) -> usize {
         std::mem::take(&mut self.unreported_failures)
     }
 
-    /// Changes the address. Requests in progress are closed and sent again to the new address, so that no late answer
-    /// from the old one overwrites a newer list. Revisions of the two addresses are not comparable.
+    /// Changes the address of discovery. Requests in progress are repeated at the new address, so that no late response
+    /// from the old one overwrites a newer list. Revisions from different addresses are not comparable.
     pub fn set_address(&mut self, context: &mut Context, address: SocketAddr) {
         if address == self.address {
             return;
@@ -125,7 +126,7 @@
         self.start_watch(context);
     }
 
-    /// A connection is established: sends the request.
+    /// Handles that a connection is established: sends the request.
     pub fn established(&self, context: &mut Context, id: ConnectionId) {
         let (address, revision) = (self.address, self.revision);
         let query = match context.connections.discovery_mut(id).kind {
@@ -137,20 +138,20 @@
         context.effects.push(Effect::Write { connection: id, buffers: vec![head.into_bytes().into()] });
     }
 
-    /// Reads further bytes of a response. Returns how many were consumed and whether the body is complete.
+    /// Parses further bytes of a response. Returns how many were consumed and whether the body is complete.
     pub fn read(
         &self, context: &mut Context, id: ConnectionId, bytes: &[u8],
     ) -> Result<ResponseRead, DiscoveryError> {
         let request = context.connections.discovery_mut(id);
         let read = request.read(bytes);
         if let Some(date) = request.take_date() {
-            context.endpoints.time_stated(context.now, date);
+            context.endpoints.set_discovery_time(context.now, date);
         }
         read
     }
 
-    /// The next update that a watch has sent in full. The first message proves that discovery works, so even a blank
-    /// line counts as an empty update then.
+    /// Returns the next complete update of a watch; `None` if there is none. A blank line counts as an empty update if
+    /// it is the first message, which reports to the balancer that discovery works.
     pub fn next_update(
         &mut self, context: &mut Context, id: ConnectionId,
     ) -> Result<Option<EndpointList>, DiscoveryError> {
@@ -159,7 +160,7 @@
             return Ok(None);
         }
         while let Some(message) = request.next_message()? {
-            let is_first = request.note_message(context.now);
+            let is_first = request.record_message(context.now);
             if is_first {
                 self.backoff.reset();
             }
@@ -171,11 +172,15 @@
                 WatchMessage::Update(text) => text,
             };
             let WatchUpdate { revision, list } = parse_update(&text)?;
-            // Guards against a delayed update that undoes a drain.
+            // A delayed update could make a draining node ready again.
             let newest = request.revision();
             if revision < newest {
                 context.counters.endpoint_lists_stale += 1;
-                tracing::warn!(revision, newest, "stale endpoint update skipped");
+                tracing::warn!(
+                    revision,
+                    newest,
+                    "endpoint update skipped: its revision is older than the newest one"
+                );
                 continue;
             }
             request.set_revision(revision);
@@ -184,74 +189,75 @@
         Ok(None)
     }
 
-    /// Notes that all received bytes were read. Guards against a truncated object, behind which nothing on a watch can
-    /// be parsed: bytes that complete neither a line nor an object do not count as messages.
+    /// Consumes the parsed bytes and sets the timeout of the request, which counts from the last message or from the
+    /// start of an incomplete object. Further bytes of that object do not postpone the timeout, since nothing after a
+    /// truncated object can be parsed.
     pub fn finish_reading(&self, context: &mut Context, id: ConnectionId, read: ResponseRead) {
         context.effects.push(Effect::Consume { connection: id, count: read.consumed });
         let now = context.now;
-        let no_progress_since = context.connections.discovery_mut(id).note_progress(now, read.progress);
+        let no_progress_since = context.connections.discovery_mut(id).record_progress(now, read.progress);
         context.set_connection_timer(id, Some(no_progress_since + SILENCE_TIMEOUT));
     }
 
-    /// Notes that discovery has closed the connection in order; the end of the connection follows.
+    /// Handles an orderly close by discovery. The end of the connection follows as a separate event.
     pub fn closed_by_peer(&self, context: &mut Context, id: ConnectionId) {
         context.connections.discovery_mut(id).closed_by_peer();
     }
 
-    /// Handles the end of a connection, or of a response after which nothing more comes.
-    pub fn ended(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
+    /// Handles the end of a connection or the end of its response.
+    pub fn ended(&mut self, context: &mut Context, id: ConnectionId) -> RequestOutcome {
         match context.connections.discovery_mut(id).polled_list() {
-            Some(Ok(list)) => RequestEnd::List(list),
+            Some(Ok(list)) => RequestOutcome::List(list),
             Some(Err(error)) => self.reject_response(context, id, &error),
             None => self.fail_request(context, id),
         }
     }
 
-    /// Handles a response that cannot be used.
+    /// Handles a response that is malformed or invalid: the request fails.
     pub fn reject_response(
         &mut self, context: &mut Context, id: ConnectionId, error: &DiscoveryError,
-    ) -> RequestEnd {
+    ) -> RequestOutcome {
         context.counters.endpoint_lists_invalid += 1;
         tracing::warn!(%error, "discovery response rejected");
         self.fail_request(context, id)
     }
 
-    /// Handles a request on which nothing was received for too long. A watch that worked is started again at once, and
-    /// the balancer gets a report only if that fails: the updates that it missed arrive soon after. One that was never
-    /// answered is started again soon, whatever the balancer chooses.
-    pub fn timed_out(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
+    /// Handles the timeout of a request. A watch that had received messages is restarted at once. The balancer gets a
+    /// report only if the restart fails, since the missed updates arrive soon after it. A watch without any message
+    /// fails and is restarted after a short delay, whatever the balancer decides.
+    pub fn timed_out(&mut self, context: &mut Context, id: ConnectionId) -> RequestOutcome {
         if self.watch != Some(id) {
             return self.fail_request(context, id);
         }
-        if !context.connections.discovery_mut(id).has_answered() {
-            let end = self.fail_request(context, id);
+        if !context.connections.discovery_mut(id).has_received_message() {
+            let outcome = self.fail_request(context, id);
             self.backoff.schedule_after_silence(context);
-            return end;
+            return outcome;
         }
-        tracing::info!("silent endpoint watch restarted");
+        tracing::info!("endpoint watch timed out without a message; restarted");
         context.counters.endpoint_watches_silent += 1;
         self.start_watch(context);
-        RequestEnd::WatchRestarted
+        RequestOutcome::WatchRestarted
     }
 
-    fn fail_request(&mut self, context: &mut Context, id: ConnectionId) -> RequestEnd {
+    fn fail_request(&mut self, context: &mut Context, id: ConnectionId) -> RequestOutcome {
         if self.watch == Some(id) {
             self.watch = None;
         }
         context.close(id);
-        self.note_failure(context);
-        RequestEnd::Failed
+        self.handle_failure(context);
+        RequestOutcome::Failed
     }
 
-    /// A request has failed; a watch is started again after a delay.
-    pub fn note_failure(&mut self, context: &mut Context) {
+    /// Handles the failure of a request: schedules the next watch if endpoint lists are pushed and there is no watch.
+    pub fn handle_failure(&mut self, context: &mut Context) {
         context.counters.discovery_failures += 1;
         if self.mode == DiscoveryMode::Pushed && self.watch.is_none() {
             self.backoff.schedule(context);
         }
     }
 
-    /// Stores an endpoint list; returns its entries for the balancer.
+    /// Stores an endpoint list or update. Returns its valid entries for the balancer.
     pub fn store(&mut self, context: &mut Context, list: &EndpointList) -> Vec<Endpoint> {
         self.revision = list.json["revision"].as_u64().unwrap_or(self.revision);
         context.endpoints.start_update();
@@ -272,7 +278,7 @@
 
     fn store_entry(&self, context: &mut Context, member: &Json) -> Option<Endpoint> {
         let Some(entry) = EndpointEntry::parse(member) else {
-            tracing::warn!(entry = %member, "endpoint entry rejected");
+            tracing::warn!(entry = %member, "invalid endpoint entry skipped");
             return None;
         };
         let zone = self.zones.iter().position(|name| name == entry.zone).unwrap_or(self.zones.len());
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -1,4 +1,5 @@
-//! Dispatch of the balancer's attempts: they are grouped into batches, assigned to connections, and cancelled.
+//! Dispatch of the attempts that the balancer requests: grouping into batches, assignment to connections, and
+//! cancellation.
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
@@ -9,23 +10,24 @@
 use crate::router::query_table::QueryTable;
 use balancer::{AttemptId, AttemptOutcome, Micros, NodeId, QueryId, ShardRequestId};
 
-/// Attempts for one node that are sent in one frame.
+/// Attempts for the same node that are sent in one frame.
 #[derive(Debug)]
 struct Batch {
     node: NodeId,
     attempts: Vec<AttemptId>,
 }
 
-/// Dispatches attempts to connections, in batches.
+/// Groups attempts into batches and assigns these to connections.
 pub struct Dispatcher {
-    /// The batches of the current decision, and those for which no connection could be opened.
+    /// The batches without a connection: those of the current decision, and earlier ones for which no connection could
+    /// be opened.
     waiting: Vec<Batch>,
     max_batch_size: usize,
     health_check_kind: HealthCheckKind,
 }
 
 impl Dispatcher {
-    /// A dispatcher with the batch size and the health checks of this configuration.
+    /// Creates a dispatcher with the maximum batch size and the kind of health check from the configuration.
     pub fn new(config: &Config) -> Dispatcher {
         Dispatcher {
             waiting: Vec::new(),
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Adds an attempt to a batch of the current decision for the same node.
+    /// Adds an attempt to a waiting batch for the same node, or to a new one.
     pub fn add_attempt(
         &mut self, context: &mut Context, queries: &mut QueryTable, request: ShardRequestId, node: NodeId,
         timeout: Option<Micros>,
@@ -57,23 +59,24 @@
         }
     }
 
-    /// Checks the health of a node.
+    /// Sends a health check to a node.
     pub fn check_health(&self, context: &mut Context, queries: &mut QueryTable, node: NodeId) {
         node_connections::check_health(context, queries, node, self.health_check_kind);
     }
 
-    /// Puts the waiting batches on connections and writes them.
+    /// Assigns the waiting batches to connections and writes them.
     pub fn send_batches(&mut self, context: &mut Context, queries: &mut QueryTable) {
-        let mut receivers = node_connections::reassign_batches(context, queries);
+        let mut connections = node_connections::reassign_batches(context, queries);
         for batch in std::mem::take(&mut self.waiting) {
-            receivers.extend(self.assign(context, queries, batch));
+            connections.extend(self.assign(context, queries, batch));
         }
-        for connection in receivers {
+        for connection in connections {
             node_connections::write(context, queries, connection);
         }
     }
 
-    /// Queues a batch on a connection. If none can be opened the batch waits, which is no failure of the node.
+    /// Queues a batch on a connection. If none can be opened, the batch stays in `waiting`: the limit on connections is
+    /// no failure of the node.
     fn assign(
         &mut self, context: &mut Context, queries: &mut QueryTable, batch: Batch,
     ) -> Option<ConnectionId> {
@@ -92,9 +95,9 @@
         connection
     }
 
-    /// Cancels the attempts of an ended query that are not known to be written in full. Guards against sending shard
-    /// requests that nobody waits for: on a connection that is established late, once a connection can be opened, or
-    /// behind bytes that a node does not read.
+    /// Cancels the attempts of an ended query that are not known to be written in full. Otherwise they could still be
+    /// sent: when their connection is established late, when a connection can be opened, or when a node resumes
+    /// reading.
     pub fn cancel_unwritten(&mut self, context: &mut Context, queries: &mut QueryTable, query: QueryId) {
         let Some(entry) = queries.query(query) else { return };
         let unwritten: Vec<AttemptId> = entry
@@ -108,9 +111,9 @@
         }
     }
 
-    /// Stops waiting for an attempt, which ends with this outcome if it was sent. One that was not is removed; a
-    /// frame that is partly written ends with its connection, since a shard request must not arrive after its query
-    /// has ended.
+    /// Cancels an attempt. If it was written in full, it ends with `outcome` and a cancellation is sent to the node. If
+    /// no byte was written, it is removed and ends as not sent. If its frame is partly written, the connection is
+    /// aborted, since a shard request must not arrive after its query has ended.
     pub fn cancel(
         &mut self, context: &mut Context, queries: &mut QueryTable, attempt: AttemptId,
         outcome: AttemptOutcome,
@@ -122,14 +125,14 @@
             return queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent);
         };
         let request = queries.shard_request(attempt.shard_request);
-        // Its response should have come if another attempt was answered first, or after the connect timeout.
-        let should_be_answered =
+        // A response is overdue if another attempt was answered first, or after the connect timeout.
+        let is_overdue =
             request.value.is_some() || context.now - requested_at >= context.limits.connect_timeout;
         let cancelled = context.connections.node_mut(connection).cancel(
             attempt,
             &request.id,
             context.limits.max_requests_per_connection,
-            should_be_answered.then_some(requested_at),
+            is_overdue.then_some(requested_at),
         );
         match cancelled {
             SendProgress::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
@@ -142,8 +145,8 @@
         }
     }
 
-    /// Removes an attempt from the waiting batches. Guards against sending an attempt whose query was released and
-    /// whose id belongs to another query by the time a connection can be opened.
+    /// Removes an attempt from the waiting batches. By the time a connection can be opened, its query may be released
+    /// and its id may belong to another query.
     fn remove_waiting(&mut self, attempt: AttemptId) {
         self.waiting.retain_mut(|batch| {
             batch.attempts.retain(|&waiting| waiting != attempt);
@@ -151,9 +154,9 @@
         });
     }
 
-    /// Applies an endpoint update to the connections of a node. Guards against connections to a process that has ended:
-    /// a machine that vanished does not close them, and what is sent on one is lost. Queued attempts are cancelled if
-    /// the node is not ready or has another address.
+    /// Applies an endpoint update to the connections of a node. Connections older than the node's process are aborted:
+    /// a machine that failed does not close them, and attempts sent on them are lost. Queued attempts are cancelled and
+    /// idle connections closed if the node is not ready or has another address.
     pub fn apply_endpoint(&mut self, context: &mut Context, queries: &mut QueryTable, node: NodeId) {
         let endpoint = &context.endpoints[node];
         let (ready, address, started_at) = (endpoint.ready, endpoint.address, endpoint.started_at());
@@ -177,12 +180,12 @@
                 self.cancel(context, queries, attempt, AttemptOutcome::NotSent);
             }
             if context.connections.node_mut(id).idle_since().is_some() {
-                context.close_idle_node(id);
+                context.close_idle_node_connection(id);
             }
         }
     }
 
-    /// Cancels the attempts for a node in waiting batches.
+    /// Cancels the attempts in the waiting batches for a node.
     fn cancel_waiting(&mut self, context: &mut Context, queries: &mut QueryTable, node: NodeId) {
         let batches = self.waiting.iter().filter(|batch| batch.node == node);
         let attempts: Vec<AttemptId> = batches.flat_map(|batch| batch.attempts.iter().copied()).collect();
@@ -192,9 +195,9 @@
     }
 }
 
-/// Whether an attempt has not ended and is not known to be written in full.
+/// Returns whether an attempt has not ended and is not known to be written in full.
 fn is_unwritten(context: &Context, queries: &QueryTable, attempt: AttemptId) -> bool {
-    // The connection of an attempt that has ended may belong to another node by now.
+    // The connection id of an attempt that has ended may have been reused for another node.
     let Some(state) = queries.attempt(attempt).filter(|state| state.outcome.is_none()) else { return false };
     let connection = state.connection.and_then(|id| context.connections.node(id));
     !connection.is_some_and(|connection| connection.has_written(attempt))
--- a/crates/query-router/src/router/endpoints.rs
+++ b/crates/query-router/src/router/endpoints.rs
@@ -6,48 +6,48 @@
 use std::net::SocketAddr;
 use std::ops::{Index, IndexMut};
 
-/// What is known of a data node.
+/// The last listed state of a data node, and its connections.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointRecord {
-    /// Where it listens, if the address could be parsed.
+    /// The address on which the node listens; `None` if the listed address could not be parsed.
     pub address: Option<SocketAddr>,
-    /// Whether new attempts may be sent to it.
+    /// Whether the node is in the endpoint state ready, so that new attempts may be sent.
     pub ready: bool,
-    /// When its process started; `None` until an endpoint update has named it.
+    /// The start time of the node's process; `None` until an endpoint update has listed the node.
     start: Option<NodeStart>,
-    /// The number of the last update that listed it.
+    /// The number of the last update that listed the node.
     last_update: u64,
-    /// Whether the balancer has released it: its id becomes free once no connection is left.
+    /// Whether the balancer has released the node. Its id becomes free once no connection to it is left.
     released: bool,
-    /// Whether a malformed frame on one of its connections was logged.
+    /// Whether a malformed frame on a connection to the node has been logged; further ones are only counted.
     pub malformed_frame_logged: bool,
-    /// The connections to it.
+    /// The connections to the node, in the order in which they were opened.
     pub connections: Vec<ConnectionId>,
 }
 
 impl EndpointRecord {
-    /// When its process started by the clock of this process, 0 for long ago.
+    /// Returns the start time of the node's process by the clock of this process; 0 if it started long ago.
     pub fn started_at(&self) -> Micros {
         self.start.map_or(0, |start| start.started_at())
     }
 }
 
-/// All endpoints by node.
+/// The records of all endpoints, by node.
 #[derive(Default)]
 pub struct Endpoints {
     records: Vec<EndpointRecord>,
     ids: IdInterner<String>,
     start_times: StartTimes,
-    updates: u64,
+    update_number: u64,
 }
 
 impl Endpoints {
-    /// Begins an update of the list.
+    /// Starts an endpoint update.
     pub fn start_update(&mut self) {
-        self.updates += 1;
+        self.update_number += 1;
     }
 
-    /// Stores an entry of the update; returns its node, a new one if discovery has not named it before.
+    /// Stores an entry of the current update. Returns its node, which gets a new id if it has none.
     pub fn store(&mut self, now: Micros, entry: &EndpointEntry) -> NodeId {
         let index = self.ids.intern(entry.id.to_string());
         if self.records.len() <= index {
@@ -57,44 +57,44 @@
         record.address = entry.address.parse().ok();
         record.ready = entry.state == EndpointState::Ready;
         record.start = Some(self.start_times.convert(now, entry.reported_start, record.start));
-        record.last_update = self.updates;
+        record.last_update = self.update_number;
         record.released = false;
         NodeId(index)
     }
 
-    /// Notes the time that discovery states.
-    pub fn time_stated(&mut self, now: Micros, stated: Micros) {
+    /// Records the current time by the clock of discovery, to which reported start times refer.
+    pub fn set_discovery_time(&mut self, now: Micros, stated: Micros) {
         self.start_times.time_stated(now, stated);
     }
 
-    /// Ends an update that discovery has sent.
+    /// Ends an update that was received from discovery, as opposed to the cached list.
     pub fn finish_received_update(&mut self, now: Micros) {
         self.start_times.list_received(now);
     }
 
-    /// Ends an update that names all endpoints: the others are not ready any more.
+    /// Ends a full update: endpoints that it does not list are no longer ready.
     pub fn finish_full_update(&mut self) {
         for record in &mut self.records {
-            record.ready &= record.last_update == self.updates;
+            record.ready &= record.last_update == self.update_number;
         }
     }
 
-    /// The number of records, those of free ids included.
+    /// Returns the number of records, including those of free ids.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// How many endpoints are ready.
+    /// Returns the number of ready endpoints.
     pub fn ready_count(&self) -> usize {
         self.records.iter().filter(|record| record.ready).count()
     }
 
-    /// Notes that the balancer does not refer to this node any more.
+    /// Records that the balancer no longer refers to the node.
     pub fn release(&mut self, node: NodeId) {
         self[node].released = true;
     }
 
-    /// Frees the id of a node to which neither the balancer nor a connection refers.
+    /// Frees the id of a node if the balancer has released it and no connection to it is left.
     pub fn free_if_unused(&mut self, node: NodeId) {
         if self[node].released && self[node].connections.is_empty() {
             self[node] = EndpointRecord::default();
@@ -102,13 +102,13 @@
         }
     }
 
-    /// All records in the order of their nodes.
+    /// Returns all records in the order of their nodes.
     #[cfg(test)]
     pub fn records(&self) -> &[EndpointRecord] {
         &self.records
     }
 
-    /// How many nodes have ids.
+    /// Returns the number of ids in use.
     #[cfg(test)]
     pub fn id_count(&self) -> usize {
         self.ids.count()
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -1,10 +1,17 @@
 //! The router's state machine: every change of state goes through [`Router::step`] and [`Router::decide`]. Both take
 //! plain values and the time, and queue effects; neither touches a socket or a clock.
 //!
-//! This module routes events to the components and their results to the balancer. A component uses neither the balancer
-//! nor any component above it. From the bottom: `timers`, `shutdown`, `endpoints` and `connection` (states alone);
-//! `rules` (what may be done now); `context` (the state that all share); `query_table`; `node_connections`; `dispatch`, `clients` and `discovery`;
-//! `state` (the components together, as the balancer acts on them); `reports` (what is reported to the balancer).
+//! This module dispatches events to the components and passes their results to the balancer. A component uses neither
+//! the balancer nor any component above it. From the bottom:
+//!
+//! - `timers`, `shutdown`, `endpoints` and `connection`: state without effects
+//! - `rules`: preconditions of actions
+//! - `context`: the state that all components share
+//! - `query_table`: the queries in progress
+//! - `node_connections`: the connections to data nodes
+//! - `dispatch`, `clients` and `discovery`
+//! - `state`: all components, and the actions that the balancer requests of them
+//! - `reports`: reports to the balancer
 
 mod clients;
 mod connection;
@@ -29,7 +36,7 @@
 use balancer::{AttemptOutcome, Balancer, EndpointUpdate, Events, Micros};
 use connection::ConnectionKind;
 use connection::discovery::{BodyProgress, EndpointList};
-use discovery::RequestEnd;
+use discovery::RequestOutcome;
 use state::State;
 use timers::Timer;
 
@@ -45,7 +52,8 @@
 }
 
 impl Router {
-    /// A router that starts now.
+    /// Creates a router that starts at `now`. Applies the cached endpoint list, and starts a watch if endpoint lists
+    /// are pushed.
     pub fn new(config: &Config, now: Micros) -> Router {
         let mut router = Router {
             balancer: Balancer::new(config.seed, config.settings.clone()),
@@ -60,12 +68,12 @@
         router
     }
 
-    /// Takes the effects that the event loop is to carry out, in order.
+    /// Removes and returns the queued effects in the order in which the event loop must carry them out.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.state.context.effects)
     }
 
-    /// The counters since the start.
+    /// Returns the counters since the start of the router.
     pub fn counters(&self) -> &Counters {
         &self.state.context.counters
     }
@@ -91,22 +99,22 @@
                 self.state.context.effects.push(Effect::PrintCounters(lines));
             }
         }
-        self.update_wake();
+        self.update_wake_time();
     }
 
-    /// Called once in an event-loop iteration, after all its events. Reports to the balancer what was not reported at
-    /// once, and lets the balancer decide, at most once in a decision interval.
+    /// Ends an event-loop iteration, after all its events: passes pending reports to the balancer and lets the balancer
+    /// decide, at most once in a decision interval.
     pub fn decide(&mut self, now: Micros) {
         self.state.context.now = now;
         for _ in 0..self.state.discovery.take_unreported_failures() {
-            self.state.discovery.note_failure(&mut self.state.context);
+            self.state.discovery.handle_failure(&mut self.state.context);
             self.report_discovery_failure();
         }
         for finished in self.state.queries.take_pending_outcomes() {
             self.report_attempt(&finished, &[]);
         }
-        // Guards against deciding after each event: the balancer then sent several times as many hedged attempts, which
-        // overloaded nodes with just enough capacity.
+        // Deciding after each event made the balancer send several times as many hedged attempts, which overloaded
+        // nodes with just enough capacity.
         let interval_is_over = now >= self.last_decision_at + self.state.context.limits.decision_interval;
         if interval_is_over && std::mem::take(&mut self.decision_needed) {
             self.last_decision_at = now;
@@ -116,22 +124,22 @@
         let State { context, queries, clients, dispatcher, .. } = &mut self.state;
         dispatcher.send_batches(context, queries);
         clients.accept_pending(context);
-        self.update_wake();
+        self.update_wake_time();
         if self.may_exit() {
             self.state.context.effects.push(Effect::Exit);
         }
     }
 
-    /// Whether a graceful shutdown has nothing left to wait for.
+    /// Returns whether a graceful shutdown is complete: no client is connected or waits to be accepted.
     pub fn may_exit(&self) -> bool {
         let context = &self.state.context;
-        context.shutdown.closes_idle()
+        context.shutdown.closes_idle_connections()
             && context.connections.clients().next().is_none()
             && !self.state.clients.has_pending_accepts()
     }
 
-    /// Asks for [`Event::TimerExpired`] at the time of the first timer, or of the next decision if one is needed.
-    fn update_wake(&mut self) {
+    /// Requests [`Event::TimerExpired`] for the earliest timer, or for the next decision if that comes first.
+    fn update_wake_time(&mut self) {
         let State { context, queries, discovery, .. } = &mut self.state;
         let decision_needed =
             self.decision_needed || queries.has_pending_outcomes() || discovery.has_unreported_failures();
@@ -163,7 +171,7 @@
     fn flushed(&mut self, id: ConnectionId) {
         let State { context, queries, clients, .. } = &mut self.state;
         match context.connections.kind(id) {
-            Some(ConnectionKind::Client) => clients.answer_written(context, id),
+            Some(ConnectionKind::Client) => clients.response_written(context, id),
             Some(ConnectionKind::Node) => node_connections::flushed(context, queries, id),
             Some(ConnectionKind::Discovery) | None => {}
         }
@@ -185,8 +193,8 @@
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
-                let end = discovery.ended(context, id);
-                self.discovery_request_ended(id, end);
+                let outcome = discovery.ended(context, id);
+                self.discovery_request_ended(id, outcome);
             }
             None => {}
         }
@@ -215,7 +223,7 @@
             }
             Timer::StartWatch => discovery.start_watch(context),
             Timer::CloseIdleClients => clients.close_idle(context),
-            Timer::AnswerDeadline => clients.reject_incomplete(context),
+            Timer::ResponseDeadline => clients.reject_incomplete(context),
             Timer::Connection(id) => self.connection_timer_expired(id),
         }
     }
@@ -230,22 +238,22 @@
                 self.report_all(reports);
             }
             Some(ConnectionKind::Discovery) => {
-                let end = discovery.timed_out(context, id);
-                self.discovery_request_ended(id, end);
+                let outcome = discovery.timed_out(context, id);
+                self.discovery_request_ended(id, outcome);
             }
             None => {}
         }
     }
 
-    /// Starts the graceful shutdown, unless it has been started before.
+    /// Starts a graceful shutdown; has no effect if one is in progress.
     fn begin_shutdown(&mut self) {
         let State { context, queries, clients, .. } = &mut self.state;
         let longest_deadline = clients.longest_deadline();
         if context.shutdown.begin(&mut context.timers, context.now, longest_deadline) {
             tracing::info!(open_requests = queries.open_count(), "graceful shutdown started");
-            // Guards against queries that came before the signal and whose deadline lies behind the kill.
-            if let Some(answer_by) = context.shutdown.answer_deadline() {
-                self.balancer.shutdown_started(context.now, answer_by);
+            // Queries that arrived before the signal may have a deadline after the time at which the process is killed.
+            if let Some(response_deadline) = context.shutdown.response_deadline() {
+                self.balancer.shutdown_started(context.now, response_deadline);
             }
         }
     }
@@ -257,14 +265,14 @@
         }
     }
 
-    /// Handles the disconnect of a client, whose query needs no answer any more.
+    /// Handles the disconnect of a client. Its query, if any, ends without a response.
     fn client_ended(&mut self, id: ConnectionId) {
         let State { context, queries, clients, dispatcher, .. } = &mut self.state;
         if let Some(query) = clients.awaited_query(context, id) {
             tracing::debug!(
                 query = queries.wire_id(query),
                 connection = id.0,
-                "client left before its answer"
+                "client disconnected before its response"
             );
             queries.end_query(query);
             dispatcher.cancel_unwritten(context, queries, query);
@@ -285,14 +293,14 @@
         }
     }
 
-    /// Reads a response of discovery and applies each update as soon as it is complete.
+    /// Reads bytes of a discovery response and applies each update as soon as it is complete.
     fn discovery_received(&mut self, id: ConnectionId, bytes: &[u8]) {
         let State { context, discovery, .. } = &mut self.state;
         let read = match discovery.read(context, id, bytes) {
             Ok(read) => read,
             Err(error) => {
-                let end = discovery.reject_response(context, id, &error);
-                return self.discovery_request_ended(id, end);
+                let outcome = discovery.reject_response(context, id, &error);
+                return self.discovery_request_ended(id, outcome);
             }
         };
         loop {
@@ -301,27 +309,27 @@
                 Ok(Some(list)) => self.apply_endpoint_list(&list),
                 Ok(None) => break,
                 Err(error) => {
-                    let end = discovery.reject_response(context, id, &error);
-                    return self.discovery_request_ended(id, end);
+                    let outcome = discovery.reject_response(context, id, &error);
+                    return self.discovery_request_ended(id, outcome);
                 }
             }
         }
         let State { context, discovery, .. } = &mut self.state;
         discovery.finish_reading(context, id, read);
         if read.progress == BodyProgress::Complete {
-            let end = discovery.ended(context, id);
-            self.discovery_request_ended(id, end);
+            let outcome = discovery.ended(context, id);
+            self.discovery_request_ended(id, outcome);
         }
     }
 
-    fn discovery_request_ended(&mut self, id: ConnectionId, end: RequestEnd) {
-        match end {
-            RequestEnd::List(list) => {
+    fn discovery_request_ended(&mut self, id: ConnectionId, outcome: RequestOutcome) {
+        match outcome {
+            RequestOutcome::List(list) => {
                 self.apply_endpoint_list(&list);
                 self.state.context.close(id);
             }
-            RequestEnd::WatchRestarted => {}
-            RequestEnd::Failed => self.report_discovery_failure(),
+            RequestOutcome::WatchRestarted => {}
+            RequestOutcome::Failed => self.report_discovery_failure(),
         }
     }
 }
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -1,4 +1,4 @@
-//! How node connections are opened, kept while idle, and closed, and what their end means.
+//! Opening, keeping and closing of node connections, and the outcomes of the attempts on a connection that ends.
 
 use crate::io::{ConnectionId, Effect};
 use crate::router::connection::Connection;
@@ -11,34 +11,34 @@
 /// An event on a node connection that is reported to the balancer.
 #[derive(Debug)]
 pub enum NodeReport<'a> {
-    /// An attempt has ended.
+    /// The end of an attempt.
     Attempt {
-        /// The attempt and its outcome.
+        /// The attempt, its outcome and its latency.
         finished: FinishedAttempt,
-        /// What the node reports of its load with the response.
+        /// The load report of the response; empty if there is none.
         load: Vec<LoadMetric<'a>>,
     },
-    /// A health check has ended.
+    /// The end of a health check.
     HealthCheck {
-        /// The health check and its outcome.
+        /// The node, the outcome and the latency of the health check.
         finished: FinishedHealthCheck,
-        /// What the node reports of its load with the answer.
+        /// The load report of the response; empty if there is none.
         load: Vec<LoadMetric<'a>>,
     },
 }
 
-/// A health check that has ended.
+/// The end of a health check, as it is reported to the balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedHealthCheck {
     /// The node that was checked.
     pub node: NodeId,
-    /// How it ended.
+    /// The outcome of the health check.
     pub outcome: AttemptOutcome,
-    /// The time since it was sent.
+    /// The time between the request for the health check and its end.
     pub latency: Micros,
 }
 
-/// Opens a connection to a node, if its address is known and the limit on descriptors allows one.
+/// Opens a connection to a node. Returns `None` if the node has no address or the limit on connections is reached.
 pub fn open(context: &mut Context, node: NodeId) -> Option<ConnectionId> {
     let address = context.endpoints[node].address?;
     let connection = NodeConnection::new(node, address, context.now);
@@ -50,8 +50,8 @@
     Some(id)
 }
 
-/// Sets the timer of a connection: the time by which it must be established or complete a partial frame, or at which it
-/// is closed as idle.
+/// Sets the timer of a connection to the deadline for establishing it or for the rest of a partial frame, or to the end
+/// of the idle timeout.
 pub fn set_timer(context: &mut Context, id: ConnectionId) {
     let (connect_timeout, idle_timeout) = (context.limits.connect_timeout, context.limits.idle_timeout);
     let connection = context.connections.node_mut(id);
@@ -63,32 +63,33 @@
     context.set_connection_timer(id, at);
 }
 
-/// Keeps an idle connection until its idle timeout, or closes it at once if it cannot be reused.
+/// Restarts the idle timeout of an idle connection, or closes the connection if it cannot be reused. Updates the
+/// timer of any other connection.
 pub fn close_or_keep_idle(context: &mut Context, id: ConnectionId) {
     let now = context.now;
     let connection = context.connections.node_mut(id);
     if connection.idle_since().is_some() {
         if !connection.is_reusable() {
-            return context.close_idle_node(id);
+            return context.close_idle_node_connection(id);
         }
         connection.restart_idle_time(now);
     }
     set_timer(context, id);
 }
 
-/// Handles the end of a connection on which `bytes_written` bytes were written. Attempts that were not written in full
-/// were not executed; whether the others were is unknown.
+/// Handles the end of a connection on which `bytes_written` bytes were written. Returns the reports on its attempts and
+/// health checks. Attempts that were not written in full were not executed; the others may have been.
 pub fn ended(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes_written: u64,
 ) -> Vec<NodeReport<'static>> {
     let connection = context.connections.node_mut(id);
     let was_established = connection.is_established();
-    let is_local_failure = connection.is_delayed_locally();
+    let is_local_failure = connection.has_local_shortage();
     let cause = connection.close_cause();
     let queued: Vec<AttemptId> = connection.queue().attempts().collect();
     let in_flight = connection.take_in_flight();
-    // Neither an established connection that ends before a frame is written nor one that this machine could not open
-    // proves that its node is unreachable.
+    // A connection that was established, or that failed because of a local shortage, does not prove that the node is
+    // unreachable.
     context.counters.node_connections_failed += u64::from(!was_established);
     let (not_written, check_outcome) = match (was_established, is_local_failure) {
         (true, _) => (AttemptOutcome::NotSent, AttemptOutcome::ConnectionLost),
@@ -119,11 +120,11 @@
         let finished = queries.finish_attempt(context, attempt, outcome);
         reports.extend(finished.map(|finished| NodeReport::Attempt { finished, load: Vec::new() }));
     }
-    context.close_node(id);
+    context.close_node_connection(id);
     reports
 }
 
-/// The outcome of an attempt that was written in full on a connection that ends without a response to it.
+/// Returns the outcome of an attempt that was written in full on a connection that ends without a response to it.
 fn outcome_of_written(cause: CloseCause, attempt: AttemptId) -> AttemptOutcome {
     match cause {
         CloseCause::Remote => AttemptOutcome::ConnectionLost,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Ends the oldest unanswered health check of a connection; `None` if there is none.
+/// Ends the oldest health check without a response on a connection. Returns `None` if there is none.
 pub fn finish_health_check<'a>(
     context: &mut Context, id: ConnectionId, outcome: AttemptOutcome, load: Vec<LoadMetric<'a>>,
 ) -> Option<NodeReport<'a>> {
@@ -144,19 +145,19 @@
     Some(NodeReport::HealthCheck { finished: FinishedHealthCheck { node, outcome, latency }, load })
 }
 
-/// Closes a connection on which a frame was malformed or stayed incomplete. Guards against taking nodes for crashed if
-/// a response was damaged on its way: one attempt counts as malformed, the one `named` in the frame or else the oldest
-/// in flight, and the close cancels the others.
+/// Closes a connection on which a frame was malformed or remained incomplete. One attempt ends with a malformed
+/// response: the one `named` in the frame, or else the oldest in flight. The others are cancelled and not counted as
+/// lost connections, so that a response damaged in transit does not make the node look crashed.
 pub fn close_malformed(context: &mut Context, id: ConnectionId, named: Option<AttemptId>) {
     match context.connections.node_mut(id).set_malformed(named) {
         None => context.counters.frames_unexpected += 1,
-        Some(_) => note_malformed_frame(context, id, "the node sent a frame that could not be parsed"),
+        Some(_) => record_malformed_frame(context, id, "the node sent a frame that could not be parsed"),
     }
     context.effects.push(Effect::Abort(id));
 }
 
-/// Counts a frame that a data node or this router could not parse. It is logged once for each node.
-pub fn note_malformed_frame(context: &mut Context, id: ConnectionId, reason: &str) {
+/// Counts a frame that a data node or the router could not parse. Only the first one for each node is logged.
+pub fn record_malformed_frame(context: &mut Context, id: ConnectionId, reason: &str) {
     context.counters.frames_malformed += 1;
     let node = context.connections.node_mut(id).node;
     let endpoint = &mut context.endpoints[node];
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to data nodes: how one is selected for a batch, what is written and read on them, when they are closed.
+//! Connections to data nodes: selection of one for a batch, writing and reading of frames, and closing.
 
 mod lifecycle;
 mod receive;
@@ -19,29 +19,30 @@
 use balancer::{AttemptOutcome, NodeId};
 use lifecycle::{close_malformed, finish_health_check};
 
-/// Notes that this machine could not open a connection yet. Where it never can, that is not held against the node.
+/// Records that a local shortage delays the connection attempt. If the attempt fails in the end, the node does not
+/// count as unreachable.
 pub fn connect_delayed(context: &mut Context, id: ConnectionId) {
     if context.connections.kind(id) == Some(ConnectionKind::Node) {
         context.counters.node_connections_delayed += 1;
-        context.connections.node_mut(id).set_delayed_locally();
+        context.connections.node_mut(id).set_local_shortage();
     }
 }
 
-/// Handles a connection that was established.
+/// Handles that a connection is established: writes the queued frames.
 pub fn established(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     context.connections.node_mut(id).set_established(context.now);
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
 
-/// Handles that everything handed to the event loop is written.
+/// Handles that all submitted bytes are written: writes the frames queued meanwhile.
 pub fn flushed(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     context.connections.node_mut(id).set_flushed();
     write(context, queries, id);
     close_or_keep_idle(context, id);
 }
 
-/// Sends a health check if there is a connection to the node or one can be opened.
+/// Sends a health check to a node. Has no effect if no connection to the node exists or can be opened.
 pub fn check_health(context: &mut Context, queries: &mut QueryTable, node: NodeId, kind: HealthCheckKind) {
     let Some(id) = connection_for(context, queries, node, &[]) else { return };
     let deadline = context.now + context.limits.connect_timeout;
@@ -50,16 +51,16 @@
     write(context, queries, id);
 }
 
-/// Handles a health check that was not answered in time. The connection is closed so that a late answer is not taken
-/// for that of a later health check.
+/// Handles a health check without a response at its deadline. The connection is aborted so that a late response is not
+/// attributed to a later health check.
 pub fn health_check_timed_out(context: &mut Context, id: ConnectionId) -> Option<NodeReport<'static>> {
     let report = finish_health_check(context, id, AttemptOutcome::TimedOut, Vec::new());
     context.effects.push(Effect::Abort(id));
     report
 }
 
-/// Handles the timer of a connection, which was not established in time, did not receive a frame in full in time, or
-/// has reached the idle timeout.
+/// Handles the timer of a connection: the connection was not established in time, a frame was not received in full in
+/// time, or the idle timeout has expired.
 pub fn timer_expired(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId,
 ) -> Vec<NodeReport<'static>> {
@@ -70,7 +71,7 @@
     if let Some(partial) = connection.partial_frame() {
         close_malformed(context, id, partial.attempt);
     } else if connection.idle_since().is_some() {
-        context.close_idle_node(id);
+        context.close_idle_node_connection(id);
     }
     Vec::new()
 }
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -1,7 +1,7 @@
 //! Handling of the frames that data nodes send.
 
 use super::lifecycle::{
-    NodeReport, close_malformed, close_or_keep_idle, finish_health_check, note_malformed_frame,
+    NodeReport, close_malformed, close_or_keep_idle, finish_health_check, record_malformed_frame,
 };
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::frames::{self, FrameKind, ShardResponse};
@@ -12,16 +12,17 @@
 
 /// The result of handling a frame.
 enum FrameOutcome<'a> {
-    /// It is to be reported to the balancer.
+    /// The frame ended an attempt or a health check, which must be reported to the balancer.
     Report(NodeReport<'a>),
-    /// The balancer needs no report.
+    /// The frame was handled, and the balancer needs no report.
     Handled,
-    /// It cannot be used.
+    /// The frame is malformed or unexpected.
     Malformed,
 }
 
-/// Reads the bytes that a node has sent, from `offset` on, up to the first frame that is to be reported to the
-/// balancer. `None` means that all frames were read, or that the connection is about to be closed.
+/// Parses the bytes that a node has sent, from `offset` on, up to the first frame that must be reported to the
+/// balancer, and advances `offset`. Returns `None` if all complete frames were parsed or the connection is being
+/// closed.
 pub fn next_report<'a>(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, bytes: &'a [u8], offset: &mut usize,
 ) -> Option<NodeReport<'a>> {
@@ -53,9 +54,9 @@
     }
 }
 
-/// Consumes the frames that were read, and notes the one of which `rest` is the start.
+/// Consumes the complete frames, and records `rest` as the start of the next one.
 fn finish_reading(context: &mut Context, id: ConnectionId, rest: &[u8], consumed: usize) {
-    context.connections.node_mut(id).note_received(context.now, consumed, rest);
+    context.connections.node_mut(id).record_received(context.now, consumed, rest);
     context.effects.push(Effect::Consume { connection: id, count: consumed });
     close_or_keep_idle(context, id);
 }
@@ -67,8 +68,8 @@
         FrameKind::Response => receive_response(context, queries, id, content),
         FrameKind::Health | FrameKind::Load => receive_health(context, id, content),
         FrameKind::NotUnderstood => {
-            // The node is about to close the connection: queued batches are sent on others.
-            note_malformed_frame(context, id, &String::from_utf8_lossy(content));
+            // The node closes the connection after this frame, so queued batches must be sent on others.
+            record_malformed_frame(context, id, &String::from_utf8_lossy(content));
             context.connections.node_mut(id).forbid_reuse();
             context.effects.push(Effect::Abort(id));
             FrameOutcome::Handled
@@ -98,15 +99,15 @@
     }
 }
 
-/// Counts a response to a shard request that is not in flight on the connection. It is malformed if the connection
-/// cannot be reused by now, unless it repeats the last response.
+/// Handles a response to a shard request that is not in flight on the connection. The response counts as malformed if
+/// the connection can no longer be reused, unless it repeats the last response.
 fn receive_late_response<'a>(context: &mut Context, id: ConnectionId, request_id: &str) -> FrameOutcome<'a> {
     context.counters.responses_late += 1;
     let ignored = context.connections.node_mut(id).ignore_late_response(request_id);
     if ignored { FrameOutcome::Handled } else { FrameOutcome::Malformed }
 }
 
-/// Handles the answer to a health check, which states the node's load, `OK`, `ERROR` or `-`.
+/// Handles the response to a health check: the node's load, `OK`, `ERROR` or `-`.
 fn receive_health<'a>(context: &mut Context, id: ConnectionId, content: &'a [u8]) -> FrameOutcome<'a> {
     let Ok(text) = std::str::from_utf8(content) else { return FrameOutcome::Malformed };
     let outcome = if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -8,33 +8,35 @@
 use balancer::{AttemptId, Micros, NodeId};
 use std::rc::Rc;
 
-/// How suitable a connection is for an attempt; smaller values are better.
+/// The suitability of a connection for an attempt. Smaller values are preferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Suitability {
-    /// It has been idle for a decision interval at least.
+    /// The connection has been idle for at least a decision interval.
     Idle,
-    /// It became idle recently: the node may close it right behind its last response.
+    /// The connection became idle recently: the node may close it directly after its last response.
     JustIdle,
-    /// Something is queued or in flight on it.
+    /// The connection is not established, or frames are queued or responses expected on it.
     Busy,
 }
 
-/// A connection that could carry an attempt. Candidates are ordered by preference, field by field.
+/// A connection on which an attempt may be sent. Candidates are ordered by preference, field by field.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     suitability: Suitability,
     idle_since: Option<Micros>,
     connecting: bool,
-    load: usize,
+    attempt_count: usize,
     connection: ConnectionId,
 }
 
-/// Selects a connection for shard requests with these ids. The first choice is one that has been idle for at least a
-/// decision interval, the longest idle first, since a node may close a connection right behind a response. The second
-/// is a new one, the third one that has capacity.
+/// Selects a connection for shard requests with these ids. The first choice is the connection that has been idle for
+/// longest, if that is at least a decision interval, since a node may close a connection directly after a response. The
+/// second choice is a new connection, the third an existing one with capacity. A health check, for which there are no
+/// ids, uses an existing connection if there is one.
 ///
-/// Guards against losing many batches with one connection: batches share one only if the node's share of all
-/// connections is used up. Responses carry no attempt number, so no shard request is sent twice on one connection.
+/// Batches share a connection only if the node's share of all connections is used up, so that few batches are lost with
+/// one connection. Responses carry no attempt number, so no shard request is sent on a connection on which a response
+/// to an earlier attempt at it may still arrive.
 pub fn connection_for(
     context: &mut Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
 ) -> Option<ConnectionId> {
@@ -44,7 +46,7 @@
     {
         return Some(candidate.connection);
     }
-    // Clients may hold a third of the connections; the nodes share the others.
+    // A third of the connections is intended for clients; the ready nodes share the others equally.
     let share = 2 * context.limits.max_connections / 3 / context.endpoints.ready_count().max(1);
     let shared = best.map(|candidate| candidate.connection);
     let share_is_used_up = context.endpoints[node].connections.len() >= share;
@@ -54,7 +56,7 @@
     open(context, node).or(shared)
 }
 
-/// Queues a batch on a connection.
+/// Queues a batch on a connection, without writing it.
 pub fn queue_batch(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, attempts: Vec<AttemptId>,
 ) {
@@ -64,9 +66,8 @@
     context.connections.node_mut(id).queue_batch(attempts);
 }
 
-/// Moves batches that wait for a connection to be established to one that has become idle meanwhile. Returns the
-/// connections on which they are queued now. Guards against batches that time out on a connection which is not
-/// established, although another could carry them.
+/// Moves batches from connections that are not established to connections that have become idle, so that they do not
+/// time out although they could be sent. Returns the connections on which they are queued now.
 pub fn reassign_batches(context: &mut Context, queries: &mut QueryTable) -> Vec<ConnectionId> {
     let waiting: Vec<(ConnectionId, NodeId)> = context
         .connections
@@ -75,16 +76,16 @@
         .filter(|(_, connection)| connection.queue().attempts().next().is_some())
         .map(|(id, connection)| (id, connection.node))
         .collect();
-    let mut receivers = Vec::new();
+    let mut targets = Vec::new();
     for (id, node) in waiting {
-        while let Some(receiver) = reassign_batch(context, queries, id, node) {
-            receivers.push(receiver);
+        while let Some(target) = reassign_batch(context, queries, id, node) {
+            targets.push(target);
         }
     }
-    receivers
+    targets
 }
 
-/// Moves the first batch queued on a connection to an idle one, if there is one that may carry it.
+/// Moves the first batch queued on a connection to an idle one. Returns `None` if there is no suitable one.
 fn reassign_batch(
     context: &mut Context, queries: &mut QueryTable, id: ConnectionId, node: NodeId,
 ) -> Option<ConnectionId> {
@@ -99,7 +100,7 @@
     Some(candidate.connection)
 }
 
-/// The most suitable existing connection for shard requests with these ids.
+/// Returns the most suitable existing connection for shard requests with these ids.
 fn best_connection(
     context: &Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
 ) -> Option<Candidate> {
@@ -110,20 +111,20 @@
     candidates.min()
 }
 
-/// Whether shard requests with these ids may be sent on a connection.
+/// Returns whether shard requests with these ids may be sent on a connection.
 fn can_carry(context: &Context, queries: &QueryTable, connection: &NodeConnection, ids: &[Rc<str>]) -> bool {
     let idle_since = connection.idle_since();
-    // Guards against a response that arrives behind an incomplete frame.
+    // Responses would be appended to an incomplete frame and could not be parsed.
     let has_stray_partial_frame = idle_since.is_some() && connection.partial_frame().is_some();
     let is_queued = |id: &Rc<str>| {
         connection.queue().attempts().any(|attempt| queries.shard_request(attempt.shard_request).id == *id)
     };
-    let carries = |id: &Rc<str>| connection.may_answer(id) || is_queued(id);
+    let carries = |id: &Rc<str>| connection.may_receive_response_to(id) || is_queued(id);
     !has_stray_partial_frame
         && context.endpoints[connection.node].address == Some(connection.address)
         && connection.is_reusable()
         && idle_since.is_none_or(|since| context.now - since < context.limits.idle_timeout)
-        && connection.load() + ids.len() <= context.limits.max_requests_per_connection
+        && connection.attempt_count() + ids.len() <= context.limits.max_requests_per_connection
         && !ids.iter().any(carries)
 }
 
@@ -138,7 +139,7 @@
         suitability,
         idle_since,
         connecting: !connection.is_established(),
-        load: connection.load(),
+        attempt_count: connection.attempt_count(),
         connection: id,
     }
 }
--- a/crates/query-router/src/router/node_connections/write.rs
+++ b/crates/query-router/src/router/node_connections/write.rs
@@ -7,23 +7,24 @@
 use crate::router::connection::outgoing_queue::{HealthCheckKind, OutgoingFrame};
 use crate::router::context::Context;
 use crate::router::query_table::QueryTable;
-use crate::router::rules::{self, Subject};
+use crate::router::rules::{self, CheckedAction};
 use balancer::{AttemptId, AttemptOutcome, Micros};
 use std::rc::Rc;
 
-/// Hands the queued frames of a connection to the event loop, unless earlier ones are still being written.
+/// Passes the queued frames of a connection to the event loop, unless earlier ones are still being written.
 pub fn write(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let Some(connection) = context.connections.node(id) else { return };
     if !connection.is_established() || !connection.is_flushed() || connection.queue().is_empty() {
         return;
     }
     cancel_expired(context, queries, id);
-    withhold_forbidden(context, queries, id);
+    end_forbidden(context, queries, id);
     let connection = context.connections.node_mut(id);
     if connection.queue().is_empty() {
         return;
     }
-    // Guards against sending a batch after the node has announced that it closes, or behind an incomplete frame.
+    // While no response is expected, unread bytes are a notice that the node closes the connection, or the start of a
+    // frame: the batch must not be sent then.
     let carries_attempts = connection.queue().attempts().next().is_some();
     let expected = if carries_attempts && !connection.awaits_response() {
         ExpectedInput::Nothing
@@ -38,7 +39,7 @@
     set_timer(context, id);
 }
 
-/// Appends the encoded frame to `buffers`. Its attempts are in flight from now on.
+/// Appends the encoded frame to `buffers`, and adds its attempts to those in flight.
 fn encode(
     context: &mut Context, queries: &QueryTable, id: ConnectionId, frame: OutgoingFrame,
     buffers: &mut Vec<Bytes>,
@@ -68,7 +69,7 @@
     let head = frames::head(kind.letter(), length);
     buffers[head_index] = head.into();
     let connection = context.connections.node_mut(id);
-    let end_offset = connection.add_handed_over(head.len() + length);
+    let end_offset = connection.add_submitted(head.len() + length);
     if let OutgoingFrame::Batch(attempts) = frame {
         connection.add_in_flight(attempts.into_iter().map(|attempt| {
             let id = queries.shard_request(attempt.shard_request).id.clone();
@@ -77,8 +78,8 @@
     }
 }
 
-/// Cancels queued attempts whose deadline has passed. Guards against sending attempts that time out in the same
-/// iteration, since sockets are read before timers expire.
+/// Ends queued attempts whose deadline has passed as not sent. Sockets are read before timers expire, so such attempts
+/// would otherwise be sent and time out in the same event-loop iteration.
 fn cancel_expired(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let has_expired = |attempt: &AttemptId| {
         queries.attempt(*attempt).is_some_and(|attempt| attempt.deadline <= context.now)
@@ -95,8 +96,8 @@
     }
 }
 
-/// Ends queued attempts that a rule forbids to send.
-fn withhold_forbidden(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
+/// Ends queued attempts that `rules` does not permit to send as not sent.
+fn end_forbidden(context: &mut Context, queries: &mut QueryTable, id: ConnectionId) {
     let Some(connection) = context.connections.node(id) else { return };
     let endpoint = &context.endpoints[connection.node];
     let mut forbidden = Vec::new();
@@ -105,8 +106,8 @@
         let state = &request.attempts[attempt.number.0];
         let allowed = rules::may_send(context.now, query, request, state, endpoint, connection);
         let node = Some(connection.node);
-        let subject = Subject { action: "send attempt", id: &request.id, node, connection: Some(id) };
-        if !rules::permitted(&mut context.counters, subject, allowed) {
+        let checked = CheckedAction { action: "send attempt", id: &request.id, node, connection: Some(id) };
+        if !rules::permitted(&mut context.counters, checked, allowed) {
             forbidden.push(attempt);
         }
     }
--- a/crates/query-router/src/router/query_table.rs
+++ b/crates/query-router/src/router/query_table.rs
@@ -1,8 +1,8 @@
-//! The queries in progress, their shard requests and attempts, and the body of an answer.
+//! The queries in progress with their shard requests and attempts, and the body of the response to a client.
 
 use crate::io::{Bytes, ConnectionId};
 use crate::router::context::Context;
-use crate::router::rules::{self, Subject};
+use crate::router::rules::{self, CheckedAction};
 use crate::router::timers::Timer;
 use balancer::{
     AttemptId, AttemptNumber, AttemptOutcome, Completion, Idempotency, Micros, NodeId, QueryId,
@@ -13,133 +13,133 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// A query in progress.
+/// A query that has not been released.
 #[derive(Debug)]
 pub struct Query {
     id: Rc<str>,
-    /// The client that waits for the answer; `None` once it was answered or has disconnected.
+    /// The connection of the client that waits for the response; `None` once the query has ended.
     client: Option<ConnectionId>,
-    /// The time by which the client needs the answer.
+    /// The time by which the client needs the response.
     pub deadline: Micros,
-    /// Whether its shard requests may be repeated.
+    /// Whether shard requests of the query may be repeated after they may have been executed.
     pub idempotency: Idempotency,
-    /// What is sent to each shard.
+    /// The text that every shard request carries.
     pub text: Bytes,
-    /// Its shard requests.
+    /// The shard requests, one for each requested shard.
     pub shard_requests: Vec<ShardRequestId>,
 }
 
 impl Query {
-    /// Whether it was answered or its client has disconnected.
+    /// Returns whether the query has its final response or its client has disconnected.
     pub fn has_ended(&self) -> bool {
         self.client.is_none()
     }
 }
 
-/// A shard request of a query in progress.
+/// A shard request of a query that has not been released.
 #[derive(Debug)]
 pub struct ShardRequest {
-    /// Its id on the wire.
+    /// The id on the wire.
     pub id: Rc<str>,
     /// The query that it belongs to.
     pub query: QueryId,
     /// The index of the shard.
     pub shard: usize,
-    /// The value that a data node answered with.
+    /// The value from the first successful response; `None` until then.
     pub value: Option<String>,
-    /// Its attempts by number.
+    /// The attempts at the shard request, indexed by attempt number.
     pub attempts: Vec<Attempt>,
 }
 
 /// An attempt at a shard request.
 #[derive(Debug)]
 pub struct Attempt {
-    /// The node that it is sent to.
+    /// The node to which the attempt is sent.
     pub node: NodeId,
-    /// When the balancer requested it.
+    /// The time at which the balancer requested the attempt.
     pub requested_at: Micros,
-    /// When the router stops waiting for it.
+    /// The time at which the attempt times out.
     pub deadline: Micros,
-    /// The connection on which it is queued or was sent.
+    /// The connection on which the attempt is queued or was sent; `None` until one is assigned.
     pub connection: Option<ConnectionId>,
-    /// How it ended, once that is known.
+    /// The outcome; `None` while the attempt is in progress.
     pub outcome: Option<AttemptOutcome>,
 }
 
-/// A query to be added.
+/// The parameters of [`QueryTable::add_query`].
 pub struct NewQuery<'a> {
-    /// Its id on the wire.
+    /// The id on the wire.
     pub id: &'a str,
-    /// The client that waits for the answer.
+    /// The connection of the client that waits for the response.
     pub client: ConnectionId,
-    /// The time by which the client needs the answer.
+    /// The time by which the client needs the response.
     pub deadline: Micros,
-    /// Whether its shard requests may be repeated.
+    /// Whether shard requests of the query may be repeated after they may have been executed.
     pub idempotency: Idempotency,
-    /// What is sent to each shard.
+    /// The text that every shard request carries.
     pub text: String,
 }
 
-/// An attempt whose outcome is known.
+/// The end of an attempt, as it is reported to the balancer.
 #[derive(Clone, Copy, Debug)]
 pub struct FinishedAttempt {
-    /// The attempt.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// The node that it was for.
+    /// The node to which the attempt was sent or would have been sent.
     pub node: NodeId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The time since it was requested.
+    /// The time between the balancer's request and the end of the attempt.
     pub latency: Micros,
 }
 
-/// The body of an answer to a client.
-pub struct AnswerBody {
+/// The body of the response to a client.
+pub struct ResponseBody {
     /// The JSON text.
     pub bytes: Vec<u8>,
-    /// How many shards' values it contains.
+    /// The number of shards whose value the body contains.
     pub values: usize,
 }
 
-/// All queries in progress.
+/// The queries that have not been released, with their shard requests and attempts.
 #[derive(Default)]
 pub struct QueryTable {
     pub(super) queries: Slab<Query>,
     pub(super) shard_requests: Slab<ShardRequest>,
     ids: HashSet<Rc<str>>,
-    /// The number of unanswered queries plus the number of their shard requests.
-    open: usize,
-    /// Outcomes that were not reported to the balancer yet, in order.
+    /// The number of queries that have not ended plus the number of their shard requests.
+    open_count: usize,
+    /// Outcomes that have not been reported to the balancer, in order.
     pending_outcomes: Vec<FinishedAttempt>,
 }
 
 impl QueryTable {
-    /// Whether a query with this id is in progress.
+    /// Returns whether a query with this id on the wire is in the table.
     pub fn contains(&self, id: &str) -> bool {
         self.ids.contains(id)
     }
 
-    /// The number of unanswered queries plus the number of their shard requests.
+    /// Returns the number of queries that have not ended plus the number of their shard requests.
     pub fn open_count(&self) -> usize {
-        self.open
+        self.open_count
     }
 
-    /// Adds a query.
+    /// Adds a query without shard requests.
     pub fn add_query(&mut self, query: NewQuery) -> QueryId {
         let NewQuery { id, client, deadline, idempotency, text } = query;
         let (id, text): (Rc<str>, Bytes) = (id.into(), text.into_bytes().into());
         self.ids.insert(id.clone());
-        self.open += 1;
+        self.open_count += 1;
         let (client, shard_requests) = (Some(client), Vec::new());
         QueryId(self.queries.insert(Query { id, client, deadline, idempotency, text, shard_requests }))
     }
 
-    /// The id of a query on the wire, empty if it is not in progress.
+    /// Returns the id of a query on the wire; empty if the query has been released.
     pub fn wire_id(&self, query: QueryId) -> &str {
         self.queries.get(query.0).map_or("", |entry| &entry.id)
     }
 
-    /// The outcomes of all attempts of a query by shard, for the log.
+    /// Returns the outcomes of all attempts of a query by shard, for the log.
     pub fn outcomes(&self, query: QueryId) -> Vec<(usize, Vec<Option<AttemptOutcome>>)> {
         let requests = self.queries.get(query.0).into_iter().flat_map(|entry| &entry.shard_requests);
         let requests = requests.map(|&request| self.shard_request(request));
@@ -155,21 +155,22 @@
         let request = ShardRequest { id, query, shard, value: None, attempts: Vec::new() };
         let request = ShardRequestId(self.shard_requests.insert(request));
         entry.shard_requests.push(request);
-        self.open += 1;
+        self.open_count += 1;
         request
     }
 
-    /// Adds the next attempt at a shard request, which lasts for the timeout or until the query's deadline. One that a
-    /// rule forbids ends at once; then there is nothing to send.
+    /// Adds the next attempt at a shard request. The attempt times out after `timeout` or at the query's deadline,
+    /// whichever is first. Returns `None` if `rules` does not permit the attempt, which then ends as not sent.
     pub fn add_attempt(
         &mut self, context: &mut Context, request: ShardRequestId, node: NodeId, timeout: Option<Micros>,
     ) -> Option<AttemptId> {
         let now = context.now;
         let entry = &mut self.shard_requests[request.0];
         let query = &self.queries[entry.query.0];
-        let subject = Subject { action: "start attempt", id: &entry.id, node: Some(node), connection: None };
-        let is_permitted = rules::permitted(&mut context.counters, subject, rules::may_start(query, entry));
-        count_repetition(context, entry, node);
+        let checked =
+            CheckedAction { action: "start attempt", id: &entry.id, node: Some(node), connection: None };
+        let is_permitted = rules::permitted(&mut context.counters, checked, rules::may_start(query, entry));
+        count_repeated_attempt(context, entry, node);
         let deadline = timeout.map_or(query.deadline, |timeout| query.deadline.min(now + timeout));
         let attempt = AttemptId::new(request, AttemptNumber(entry.attempts.len()));
         entry.attempts.push(Attempt { node, requested_at: now, deadline, connection: None, outcome: None });
@@ -181,50 +182,50 @@
         Some(attempt)
     }
 
-    /// A query, if it is in progress.
+    /// Returns a query; `None` if it has been released.
     pub fn query(&self, query: QueryId) -> Option<&Query> {
         self.queries.get(query.0)
     }
 
-    /// The shard request with this id, which must exist.
+    /// Returns the shard request with this id. Panics if its query has been released.
     pub fn shard_request(&self, request: ShardRequestId) -> &ShardRequest {
         &self.shard_requests[request.0]
     }
 
-    /// The shard request of an attempt and its query.
+    /// Returns the shard request with this id and its query. Panics if the query has been released.
     pub fn request_and_query(&self, request: ShardRequestId) -> (&ShardRequest, &Query) {
         let entry = &self.shard_requests[request.0];
         (entry, &self.queries[entry.query.0])
     }
 
-    /// An attempt, if its query has not been released.
+    /// Returns an attempt; `None` if its query has been released.
     pub fn attempt(&self, attempt: AttemptId) -> Option<&Attempt> {
         self.shard_requests.get(attempt.shard_request.0)?.attempts.get(attempt.number.0)
     }
 
-    /// All attempts at a shard request.
+    /// Returns the ids of all attempts at a shard request.
     pub fn attempts(&self, request: ShardRequestId) -> impl Iterator<Item = AttemptId> {
         let count = self.shard_requests[request.0].attempts.len();
         (0..count).map(move |number| AttemptId::new(request, AttemptNumber(number)))
     }
 
-    /// The ids of these attempts' shard requests on the wire.
+    /// Returns the ids on the wire of the attempts' shard requests, in the order of the attempts.
     pub fn ids(&self, attempts: &[AttemptId]) -> Vec<Rc<str>> {
         attempts.iter().map(|attempt| self.shard_request(attempt.shard_request).id.clone()).collect()
     }
 
-    /// Notes the connection on which an attempt is queued.
+    /// Sets the connection on which an attempt is queued.
     pub fn set_connection(&mut self, attempt: AttemptId, connection: ConnectionId) {
         let entry = &mut self.shard_requests[attempt.shard_request.0];
         entry.attempts[attempt.number.0].connection = Some(connection);
     }
 
-    /// Stores the value that a node answered with, unless another attempt brought one before.
+    /// Stores the value from a successful response, unless an earlier response has set one.
     pub fn store_value(&mut self, request: ShardRequestId, value: &str) {
         self.shard_requests[request.0].value.get_or_insert_with(|| value.to_string());
     }
 
-    /// Notes that an attempt has ended; `None` if that was known.
+    /// Sets the outcome of an attempt. Returns `None` if the attempt has ended before.
     pub fn finish_attempt(
         &mut self, context: &mut Context, attempt: AttemptId, outcome: AttemptOutcome,
     ) -> Option<FinishedAttempt> {
@@ -240,7 +241,7 @@
         Some(FinishedAttempt { attempt, node: state.node, outcome, latency })
     }
 
-    /// Notes that an attempt has ended, which is reported to the balancer before its next decision.
+    /// Sets the outcome of an attempt, which is reported to the balancer before its next decision.
     pub fn finish_attempt_later(
         &mut self, context: &mut Context, attempt: AttemptId, outcome: AttemptOutcome,
     ) {
@@ -248,26 +249,26 @@
         self.pending_outcomes.extend(finished);
     }
 
-    /// Whether there are outcomes that were not reported to the balancer yet.
+    /// Returns whether there are outcomes that have not been reported to the balancer.
     pub fn has_pending_outcomes(&self) -> bool {
         !self.pending_outcomes.is_empty()
     }
 
-    /// Takes the outcomes that were not reported to the balancer yet.
+    /// Removes and returns the outcomes that have not been reported to the balancer.
     pub fn take_pending_outcomes(&mut self) -> Vec<FinishedAttempt> {
         std::mem::take(&mut self.pending_outcomes)
     }
 
-    /// Notes that a query is answered or that its client has disconnected. Returns the client, if it was waiting until
-    /// now.
+    /// Ends a query that gets its final response or whose client has disconnected. Returns the client's connection;
+    /// `None` if the query had ended before.
     pub fn end_query(&mut self, query: QueryId) -> Option<ConnectionId> {
         let entry = self.queries.get_mut(query.0)?;
         let client = entry.client.take()?;
-        self.open -= 1 + entry.shard_requests.len();
+        self.open_count -= 1 + entry.shard_requests.len();
         Some(client)
     }
 
-    /// Removes a query that has ended; its ids may be reused.
+    /// Removes a query that has ended, and its shard requests. Their ids may be reused.
     pub fn release_query(&mut self, query: QueryId) {
         let Some(entry) = self.queries.try_remove(query.0) else { return };
         self.ids.remove(&entry.id);
@@ -276,8 +277,8 @@
         }
     }
 
-    /// The body of a query's answer: the values as data nodes answered them.
-    pub fn answer_body(&self, query: QueryId, completion: Completion) -> AnswerBody {
+    /// Returns the body of the response to a query, with the values that data nodes returned.
+    pub fn response_body(&self, query: QueryId, completion: Completion) -> ResponseBody {
         let requests = &self.queries[query.0].shard_requests;
         let matches: Vec<Json> = requests
             .iter()
@@ -290,12 +291,12 @@
         let values = matches.len();
         let complete = completion == Completion::Complete;
         let bytes = json!({"all_in": complete, "matches": matches}).to_string().into_bytes();
-        AnswerBody { bytes, values }
+        ResponseBody { bytes, values }
     }
 }
 
-/// Counts and logs an attempt that is not the first at its shard request.
-fn count_repetition(context: &mut Context, request: &ShardRequest, node: NodeId) {
+/// Counts and logs a retry or a hedged attempt; has no effect for the first attempt at a shard request.
+fn count_repeated_attempt(context: &mut Context, request: &ShardRequest, node: NodeId) {
     let Some(previous) = request.attempts.last() else { return };
     let count = match previous.outcome {
         Some(_) => &mut context.counters.attempts_retried,
--- a/crates/query-router/src/router/reports.rs
+++ b/crates/query-router/src/router/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the balancer. Each asks for a decision.
+//! Reports to the balancer. After each of them a decision is needed.
 
 use crate::protocol::query_request::RequestedShard;
 use crate::router::Router;
@@ -23,7 +23,7 @@
         self.decision_needed = true;
     }
 
-    /// Reports to the balancer what happened on a node connection.
+    /// Reports the end of an attempt or of a health check to the balancer.
     pub(super) fn report(&mut self, report: NodeReport) {
         match report {
             NodeReport::Attempt { finished, load } => self.report_attempt(&finished, &load),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Reports to the balancer what happened on node connections, in order.
+    /// Reports the ends of attempts and health checks to the balancer, in order.
     pub(super) fn report_all<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
         for report in reports {
             self.report(report);
--- a/crates/query-router/src/router/rules.rs
+++ b/crates/query-router/src/router/rules.rs
@@ -1,6 +1,7 @@
-//! The rules on what may be started, sent, answered or closed at this moment. Whoever is about to act asks here, whatever
-//! led to it: a decision, a late connection, an update of the endpoint list, a shutdown. What a rule forbids is not done;
-//! it is counted in `invariants_violated` and logged with the ids, since the components should not have come to it.
+//! Preconditions for starting and sending attempts and for closing client connections. They are checked immediately
+//! before the action, whether its cause is a decision, a connection that is established late, an endpoint update or a
+//! shutdown. An action whose precondition fails is not carried out. The components should never request one, so it is
+//! counted in `invariants_violated` and logged with the ids.
 
 use crate::counters::Counters;
 use crate::io::ConnectionId;
@@ -10,39 +11,40 @@
 use crate::router::query_table::{Attempt, Query, ShardRequest};
 use balancer::{Idempotency, Micros, NodeId};
 
-/// A rule that something about to be done would break.
+/// The reason why an action is not permitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// The query has its final answer, or its client has disconnected.
+    /// The query has its final response, or its client has disconnected.
     #[error("the query has ended")]
     QueryEnded,
-    /// The shard has answered.
+    /// An earlier attempt has returned the value of the shard.
     #[error("the shard has answered")]
     ShardAnswered,
-    /// An earlier attempt may have been executed, and the shard request may not be repeated then.
+    /// An earlier attempt may have been executed, and the query is non-idempotent.
     #[error("an earlier attempt may have been executed")]
-    MayHaveRun,
-    /// The outcome of the attempt is known already.
+    MayHaveExecuted,
+    /// The attempt has an outcome.
     #[error("the attempt has ended")]
     AttemptEnded,
-    /// The deadline has passed.
-    #[error("the deadline has passed")]
+    /// The deadline of the attempt has passed.
+    #[error("the deadline of the attempt has passed")]
     DeadlinePassed,
-    /// The node drains or was removed.
+    /// The node is draining or removed.
     #[error("the node is not ready")]
     NodeNotReady,
-    /// The connection leads to an address that the node had before.
-    #[error("the node has another address")]
+    /// The connection leads to a former address of the node.
+    #[error("the connection leads to a former address of the node")]
     AddressChanged,
-    /// The connection has carried a shard request of the same id, which may still be answered.
-    #[error("the same shard request may be answered on the connection")]
+    /// A response to an earlier attempt at the same shard request may still arrive on the connection. Responses carry
+    /// no attempt number, so it could be mistaken for the response to this attempt.
+    #[error("a response to an earlier attempt at the same shard request may still arrive on the connection")]
     SameRequestInFlight,
-    /// A client waits for an answer on the connection.
-    #[error("the client waits for its answer")]
-    ClientWaits,
+    /// The client waits for the response to its query.
+    #[error("the client waits for the response to its query")]
+    ClientAwaitsResponse,
 }
 
-/// Whether another attempt at a shard request may be started.
+/// Checks whether another attempt at a shard request may be started.
 pub fn may_start(query: &Query, request: &ShardRequest) -> Result<(), Violation> {
     if query.has_ended() {
         return Err(Violation::QueryEnded);
@@ -50,16 +52,16 @@
     if request.value.is_some() {
         return Err(Violation::ShardAnswered);
     }
-    let proves_nothing_ran =
+    let not_executed =
         |attempt: &Attempt| attempt.outcome.is_some_and(|outcome| outcome.proves_not_executed());
     let may_repeat = query.idempotency != Idempotency::NonIdempotent;
-    if !may_repeat && !request.attempts.iter().all(proves_nothing_ran) {
-        return Err(Violation::MayHaveRun);
+    if !may_repeat && !request.attempts.iter().all(not_executed) {
+        return Err(Violation::MayHaveExecuted);
     }
     Ok(())
 }
 
-/// Whether an attempt may be written now, on this connection to this node.
+/// Checks whether an attempt may be written to this connection now.
 pub fn may_send(
     now: Micros, query: &Query, request: &ShardRequest, attempt: &Attempt, endpoint: &EndpointRecord,
     connection: &NodeConnection,
@@ -79,42 +81,42 @@
     if endpoint.address != Some(connection.address) {
         return Err(Violation::AddressChanged);
     }
-    if connection.may_answer(&request.id) {
+    if connection.may_receive_response_to(&request.id) {
         return Err(Violation::SameRequestInFlight);
     }
     Ok(())
 }
 
-/// Whether this router may close a client's connection of its own accord.
+/// Checks whether the router may close a client connection now.
 pub fn may_close(client: &ClientConnection) -> Result<(), Violation> {
     match client.state {
-        ClientState::AwaitingAnswer(_) => Err(Violation::ClientWaits),
+        ClientState::AwaitingResponse(_) => Err(Violation::ClientAwaitsResponse),
         _ => Ok(()),
     }
 }
 
-/// What a rule was asked about, for the log.
+/// The action whose precondition is checked, for the log.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Subject<'a> {
-    /// What was about to be done.
+pub struct CheckedAction<'a> {
+    /// The name of the action.
     pub action: &'static str,
-    /// The id of the query or shard request on the wire.
+    /// The id of the shard request on the wire; empty if the action concerns none.
     pub id: &'a str,
-    /// The node.
+    /// The node of the attempt, if the action concerns one.
     pub node: Option<NodeId>,
-    /// The connection.
+    /// The connection of the action; `None` if no connection is selected yet.
     pub connection: Option<ConnectionId>,
 }
 
-/// Counts and logs a violation. Returns whether there was none.
-pub fn permitted(counters: &mut Counters, subject: Subject, result: Result<(), Violation>) -> bool {
+/// Returns whether the check succeeded; counts and logs the violation if it failed.
+pub fn permitted(counters: &mut Counters, checked: CheckedAction, result: Result<(), Violation>) -> bool {
     let Err(violation) = result else { return true };
     counters.invariants_violated += 1;
     tracing::error!(
-        action = subject.action,
-        id = subject.id,
-        node = subject.node.map(|node| node.0),
-        connection = subject.connection.map(|connection| connection.0),
+        action = checked.action,
+        id = checked.id,
+        node = checked.node.map(|node| node.0),
+        connection = checked.connection.map(|connection| connection.0),
         %violation,
         "rule violated"
     );
--- a/crates/query-router/src/router/state.rs
+++ b/crates/query-router/src/router/state.rs
@@ -1,4 +1,4 @@
-//! All components together, and the actions that the balancer may request of them.
+//! The router's components, and the actions that the balancer requests of them.
 
 use crate::config::Config;
 use crate::counters::debug_invariant;
@@ -10,22 +10,22 @@
 use crate::router::timers::Timer;
 use balancer::{Actions, AttemptId, AttemptOutcome, Completion, Micros, NodeId, QueryId, ShardRequestId};
 
-/// The state of the router without the balancer, which acts on it.
+/// The state of the router except for the balancer, which changes this state through [`Actions`].
 pub struct State {
     /// The state that all components share.
     pub context: Context,
-    /// The queries in progress.
+    /// The queries in progress, with their shard requests and attempts.
     pub queries: QueryTable,
-    /// The client connections.
+    /// The state that concerns all client connections together.
     pub clients: Clients,
-    /// The batches for data nodes.
+    /// The batches that wait for a connection to their data node.
     pub dispatcher: Dispatcher,
-    /// The requests to discovery.
+    /// The polls and the watch of the endpoint list.
     pub discovery: Discovery,
 }
 
 impl State {
-    /// The state of a router that starts now.
+    /// Creates the state of a router that starts at `now`.
     pub fn new(config: &Config, now: Micros) -> State {
         State {
             context: Context::new(config, now),
@@ -49,10 +49,10 @@
     fn complete_query(&mut self, query: QueryId, completion: Completion) {
         let State { context, queries, clients, dispatcher, .. } = self;
         let client = queries.end_query(query);
-        debug_invariant!(context.counters, client.is_some(), "a query has one final answer");
+        debug_invariant!(context.counters, client.is_some(), "a query has exactly one final response");
         dispatcher.cancel_unwritten(context, queries, query);
         if let Some(id) = client {
-            clients.answer(context, queries, id, query, completion);
+            clients.reply_to_query(context, queries, id, query, completion);
         }
     }
 
@@ -62,7 +62,7 @@
 
     fn release_node(&mut self, node: NodeId) {
         self.context.endpoints.release(node);
-        self.context.close_idle_nodes(node);
+        self.context.close_idle_connections_to(node);
         self.context.endpoints.free_if_unused(node);
     }
 
@@ -76,7 +76,7 @@
     }
 
     fn close_idle_connections(&mut self, node: NodeId) {
-        self.context.close_idle_nodes(node);
+        self.context.close_idle_connections_to(node);
     }
 
     fn watch_endpoints(&mut self, enabled: bool) {
--- a/crates/query-router/src/router/timers.rs
+++ b/crates/query-router/src/router/timers.rs
@@ -4,43 +4,43 @@
 use balancer::{AttemptId, Micros};
 use std::collections::BTreeSet;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
-    /// The balancer requested it, with this token.
+    /// A timer that the balancer requested with this token.
     Balancer(u64),
-    /// An attempt times out.
+    /// The deadline of an attempt.
     AttemptTimeout(AttemptId),
-    /// The only timer of a connection. Its meaning depends on the state of the connection.
+    /// The single timer of a connection. Its meaning depends on the state of the connection.
     Connection(ConnectionId),
-    /// A health check on this connection was not answered in time.
+    /// The deadline of a health check on this connection.
     HealthCheckTimeout(ConnectionId),
-    /// A watch on the endpoint list is started again after a failure.
+    /// The time of the next watch on the endpoint list after one that failed.
     StartWatch,
-    /// Graceful shutdown: clients without a request are closed from now on.
+    /// Graceful shutdown: the start of the phase in which connections without a request are closed.
     CloseIdleClients,
-    /// Graceful shutdown: what is not answered yet is answered now.
-    AnswerDeadline,
+    /// Graceful shutdown: the time at which incomplete requests are rejected.
+    ResponseDeadline,
 }
 
-/// All timers that are set.
+/// The timers that have not expired.
 #[derive(Debug, Default)]
 pub struct Timers {
     queue: BTreeSet<(Micros, Timer)>,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Adds a timer that expires at `at`. Adding the same one twice has no further effect.
     pub fn insert(&mut self, at: Micros, timer: Timer) {
         self.queue.insert((at, timer));
     }
 
-    /// Removes a timer that was set for this time, if it has not expired.
+    /// Removes the timer that was added for this time, if it has not expired.
     pub fn remove(&mut self, at: Micros, timer: Timer) {
         self.queue.remove(&(at, timer));
     }
 
-    /// Removes and returns the first timer that has expired.
+    /// Removes and returns the earliest timer whose time has come; `None` if there is none.
     pub fn pop_expired(&mut self, now: Micros) -> Option<Timer> {
         if self.next_at()? > now {
             return None;
@@ -48,7 +48,7 @@
         self.queue.pop_first().map(|(_, timer)| timer)
     }
 
-    /// When the first timer expires.
+    /// Returns the time of the earliest timer.
     pub fn next_at(&self) -> Option<Micros> {
         self.queue.first().map(|(at, _)| *at)
     }
