--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -304,7 +304,7 @@
     /// Handles a response to a shard request that is not in flight. Unless the shard request was cancelled on the
     /// connection, the connection is not reused. Returns whether the response can be ignored: either the connection can
     /// still be reused, or the response repeats the last one.
-    pub fn ignore_late_response(&mut self, request_id: &str) -> bool {
+    pub fn handle_late_response(&mut self, request_id: &str) -> bool {
         let index = self.cancelled.iter().position(|known| **known == *request_id);
         if index.and_then(|index| self.cancelled.remove(index)).is_none() {
             self.reusable = false;
--- a/crates/query-router/src/router/discovery/backoff.rs
+++ b/crates/query-router/src/router/discovery/backoff.rs
@@ -14,7 +14,7 @@
 pub struct WatchBackoff {
     /// The time of the next watch; `None` if none is scheduled.
     retry_at: Option<Micros>,
-    /// The longest delay after the next failure.
+    /// The longest delay after the next failure; the shortest is half of it.
     max_delay: Micros,
     /// The longest delay after a first failure. The delays after further failures are at most twice as long, so that
     /// updates arrive soon after discovery has recovered.
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -87,7 +87,7 @@
             return None;
         }
         let ids = queries.ids(&batch.attempts);
-        let connection = node_connections::connection_for(context, queries, batch.node, &ids);
+        let connection = node_connections::select_connection(context, queries, batch.node, &ids);
         match connection {
             Some(id) => node_connections::queue_batch(context, queries, id, batch.attempts),
             None => self.waiting.push(batch),
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -44,7 +44,7 @@
 pub struct Router {
     balancer: Balancer,
     state: State,
-    /// Whether something was reported to the balancer since its last decision.
+    /// Whether the balancer has received reports since its last decision.
     decision_needed: bool,
     last_decision_at: Micros,
     /// The time of the last [`Effect::WakeAt`].
@@ -190,7 +190,7 @@
             Some(ConnectionKind::Client) => self.client_ended(id),
             Some(ConnectionKind::Node) => {
                 let reports = node_connections::ended(context, queries, id, written_bytes);
-                self.report_all(reports);
+                self.report_all_to_balancer(reports);
             }
             Some(ConnectionKind::Discovery) => {
                 let outcome = discovery.ended(context, id);
@@ -219,7 +219,7 @@
             }
             Timer::HealthCheckTimeout(id) => {
                 let report = node_connections::health_check_timed_out(context, id);
-                self.report_all(report);
+                self.report_all_to_balancer(report);
             }
             Timer::StartWatch => discovery.start_watch(context),
             Timer::CloseIdleClients => clients.close_idle(context),
@@ -235,7 +235,7 @@
             Some(ConnectionKind::Client) => clients.timer_expired(context, id),
             Some(ConnectionKind::Node) => {
                 let reports = node_connections::timer_expired(context, queries, id);
-                self.report_all(reports);
+                self.report_all_to_balancer(reports);
             }
             Some(ConnectionKind::Discovery) => {
                 let outcome = discovery.timed_out(context, id);
@@ -289,7 +289,7 @@
             let State { context, queries, .. } = &mut self.state;
             let report = node_connections::next_report(context, queries, id, bytes, &mut offset);
             let Some(report) = report else { return };
-            self.report(report);
+            self.report_to_balancer(report);
         }
     }
 
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -7,7 +7,7 @@
 
 pub use lifecycle::{NodeReport, close_or_keep_idle, ended};
 pub use receive::next_report;
-pub use selection::{connection_for, queue_batch, reassign_batches};
+pub use selection::{queue_batch, reassign_batches, select_connection};
 pub use write::write;
 
 use crate::io::{ConnectionId, Effect};
@@ -44,7 +44,7 @@
 
 /// Sends a health check to a node. Has no effect if no connection to the node exists or can be opened.
 pub fn check_health(context: &mut Context, queries: &mut QueryTable, node: NodeId, kind: HealthCheckKind) {
-    let Some(id) = connection_for(context, queries, node, &[]) else { return };
+    let Some(id) = select_connection(context, queries, node, &[]) else { return };
     let deadline = context.now + context.limits.connect_timeout;
     let deadline = context.connections.node_mut(id).queue_health_check(kind, deadline);
     context.timers.insert(deadline, Timer::HealthCheckTimeout(id));
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -103,7 +103,7 @@
 /// the connection can no longer be reused, unless it repeats the last response.
 fn receive_late_response<'a>(context: &mut Context, id: ConnectionId, request_id: &str) -> FrameOutcome<'a> {
     context.counters.responses_late += 1;
-    let ignored = context.connections.node_mut(id).ignore_late_response(request_id);
+    let ignored = context.connections.node_mut(id).handle_late_response(request_id);
     if ignored { FrameOutcome::Handled } else { FrameOutcome::Malformed }
 }
 
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -37,7 +37,7 @@
 /// Batches share a connection only if the node's share of all connections is used up, so that few batches are lost with
 /// one connection. Responses carry no attempt number, so no shard request is sent on a connection on which a response
 /// to an earlier attempt at it may still arrive.
-pub fn connection_for(
+pub fn select_connection(
     context: &mut Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
 ) -> Option<ConnectionId> {
     let best = best_connection(context, queries, node, ids);
--- a/crates/query-router/src/router/reports.rs
+++ b/crates/query-router/src/router/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the balancer. After each of them a decision is needed.
+//! Reports to the balancer. Each of them requires a decision afterwards.
 
 use crate::protocol::query_request::RequestedShard;
 use crate::router::Router;
@@ -24,7 +24,7 @@
     }
 
     /// Reports the end of an attempt or of a health check to the balancer.
-    pub(super) fn report(&mut self, report: NodeReport) {
+    pub(super) fn report_to_balancer(&mut self, report: NodeReport) {
         match report {
             NodeReport::Attempt { finished, load } => self.report_attempt(&finished, &load),
             NodeReport::HealthCheck { finished, load } => {
@@ -41,9 +41,9 @@
     }
 
     /// Reports the ends of attempts and health checks to the balancer, in order.
-    pub(super) fn report_all<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
+    pub(super) fn report_all_to_balancer<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
         for report in reports {
-            self.report(report);
+            self.report_to_balancer(report);
         }
     }
 
--- a/crates/query-router/src/router/tests/dispatch.rs
+++ b/crates/query-router/src/router/tests/dispatch.rs
@@ -145,7 +145,7 @@
     let ids: Vec<std::rc::Rc<str>> = vec!["t1.0".into()];
     let connections: Vec<ConnectionId> = (0..4)
         .map(|_| {
-            let connection = rig.connection_for(0, &ids).expect("a connection");
+            let connection = rig.select_connection(0, &ids).expect("a connection");
             rig.run_effects();
             rig.step(Event::Established(connection));
             rig.router.state.context.connections.node_mut(connection).queue_batch(Vec::new());
--- a/crates/query-router/src/router/tests/node_connections.rs
+++ b/crates/query-router/src/router/tests/node_connections.rs
@@ -66,7 +66,7 @@
     rig.router.state.cancel_attempt(AttemptId::new(ShardRequestId(request), AttemptNumber(0)));
     rig.run_effects();
     let ids = ["t3.0".into()];
-    let other = rig.connection_for(node, &ids);
+    let other = rig.select_connection(node, &ids);
     assert!(other.is_some_and(|connection| connection != silent));
 }
 
--- a/crates/query-router/src/router/tests/rig.rs
+++ b/crates/query-router/src/router/tests/rig.rs
@@ -280,9 +280,9 @@
     }
 
     /// Chooses or opens a connection for shard requests with these ids.
-    pub fn connection_for(&mut self, node: usize, ids: &[Rc<str>]) -> Option<ConnectionId> {
+    pub fn select_connection(&mut self, node: usize, ids: &[Rc<str>]) -> Option<ConnectionId> {
         let State { context, queries, .. } = &mut self.router.state;
-        node_connections::connection_for(context, queries, NodeId(node), ids)
+        node_connections::select_connection(context, queries, NodeId(node), ids)
     }
 
     /// Polls discovery, as the balancer may ask at any time.
