--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -252,8 +252,8 @@
         if context.shutdown.begin(&mut context.timers, context.now, longest_deadline) {
             tracing::info!(open_requests = queries.open_count(), "graceful shutdown started");
             // Queries that arrived before the signal may have a deadline after the time at which the process is killed.
-            if let Some(response_deadline) = context.shutdown.response_deadline() {
-                self.balancer.shutdown_started(context.now, response_deadline);
+            if let Some(respond_by) = context.shutdown.response_deadline() {
+                self.balancer.shutdown_started(context.now, respond_by);
             }
         }
     }
