--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -75,7 +75,7 @@
     pub address: SocketAddr,
     /// Whether the connection is established, and since when.
     establishment: Establishment,
-    /// Whether a local shortage has delayed the connection attempt.
+    /// Whether a local shortage delayed the connection attempt; remains true once the connection is established.
     local_shortage: bool,
     /// The time since which the connection counts as idle. Meaningful only while it is idle.
     idle_from: Micros,
@@ -90,8 +90,9 @@
     cancelled: VecDeque<Rc<str>>,
     /// The id of the shard request to which the last response on the connection belongs.
     last_answered: Option<Rc<str>>,
-    /// Whether further batches may be sent. False after a response that belongs to no shard request sent on the
-    /// connection, and after an overdue response.
+    /// Whether further batches may be sent. False after a response to a shard request that was not in flight or
+    /// cancelled, when a response is overdue and no frame has arrived since its attempt was requested, and when the
+    /// connection is being closed.
     reusable: bool,
     /// The arrival time of the last complete frame; 0 if there was none.
     last_frame_at: Micros,
@@ -151,8 +152,8 @@
         matches!(self.establishment, Establishment::Established { .. })
     }
 
-    /// Returns the time since which the connection is idle: established, with nothing queued, in flight or checked.
-    /// `None` if it is not idle.
+    /// Returns the time since which the connection is idle: established, with no frame queued, no attempt in flight and
+    /// no health check without a response. `None` if it is not idle.
     pub fn idle_since(&self) -> Option<Micros> {
         let idle = self.is_established()
             && self.in_flight.is_empty()
