--- a/crates/query-router/src/router/reports.rs
+++ b/crates/query-router/src/router/reports.rs
@@ -1,4 +1,4 @@
-//! Reports to the balancer. Each asks for a decision.
+//! Reports to the balancer. Each of them requires a decision afterwards.
 
 use crate::protocol::query_request::RequestedShard;
 use crate::router::Router;
@@ -23,8 +23,8 @@
         self.decision_needed = true;
     }
 
-    /// Reports to the balancer what happened on a node connection.
-    pub(super) fn report(&mut self, report: NodeReport) {
+    /// Reports the end of an attempt or of a health check to the balancer.
+    pub(super) fn report_to_balancer(&mut self, report: NodeReport) {
         match report {
             NodeReport::Attempt { finished, load } => self.report_attempt(&finished, &load),
             NodeReport::HealthCheck { finished, load } => {
@@ -40,10 +40,10 @@
         }
     }
 
-    /// Reports to the balancer what happened on node connections, in order.
-    pub(super) fn report_all<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
+    /// Reports the ends of attempts and health checks to the balancer, in order.
+    pub(super) fn report_all_to_balancer<'a>(&mut self, reports: impl IntoIterator<Item = NodeReport<'a>>) {
         for report in reports {
-            self.report(report);
+            self.report_to_balancer(report);
         }
     }
 
