--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration that the platform hands to a router at its start.
+//! The configuration file of a router.
 
 mod error;
 
@@ -12,49 +12,50 @@
 use settings_schema::StatedSettings;
 use std::net::SocketAddr;
 
-/// The bytes of a mebibyte, in which `limits.memory_mb` is stated.
+/// Bytes per mebibyte, the unit of `limits.memory_mb`.
 const BYTES_PER_MEBIBYTE: f64 = 1_048_576.0;
 
-/// What a router needs to know at its start.
+/// A validated configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// The name of the router, for the log.
+    /// The name of the router in log lines.
     pub name: String,
-    /// Where to listen for clients.
+    /// The address on which the router accepts clients; port 0 lets the system choose one.
     pub listen: SocketAddr,
-    /// Where to ask for the endpoint list.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The seed of all random draws.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// The most file descriptors that the process may hold.
+    /// The limit on open file descriptors of the process.
     pub max_sockets: usize,
-    /// The most memory that the process may take, in bytes, if it is limited.
+    /// The memory limit of the process in bytes; `None` if there is no limit.
     pub max_memory_bytes: Option<usize>,
-    /// The endpoint list that was last known, in discovery's form.
+    /// The endpoint list to use until discovery sends one, in the format of discovery.
     pub cached_endpoints: Json,
     /// The settings of the deployment.
     pub settings: Settings,
-    /// The same as the file states them, with those that no code reads: a change of any needs a restart.
+    /// The settings as written in the file, including those that the router does not use: a change of any of them
+    /// requires a restart.
     pub stated_settings: StatedSettings,
 }
 
 impl Config {
-    /// Reads a configuration file.
+    /// Reads and validates a configuration file.
     ///
     /// # Errors
     ///
-    /// A [`ConfigFileError`] if the file cannot be read, or if the router cannot serve with it.
+    /// Returns a [`ConfigFileError`] if the file cannot be read or its content is invalid.
     pub fn read(path: &str) -> Result<Config, ConfigFileError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| ConfigFileError::Unreadable { path: path.to_string(), source })?;
         Config::parse(&text).map_err(|source| ConfigFileError::Invalid { path: path.to_string(), source })
     }
 
-    /// Reads a configuration from its text.
+    /// Parses and validates the text of a configuration file.
     ///
     /// # Errors
     ///
-    /// The [`ConfigError`] of the first field that the router cannot serve with.
+    /// Returns the [`ConfigError`] of the first invalid field.
     pub fn parse(text: &str) -> Result<Config, ConfigError> {
         let json: Json = serde_json::from_str(text).map_err(ConfigError::NotJson)?;
         let fields = Fields(&json);
@@ -78,7 +79,7 @@
         Ok(config)
     }
 
-    /// The fields that differ in a newer configuration and take effect at the next start only.
+    /// Returns the fields that differ in `newer` and that are applied only at a restart.
     pub fn fields_needing_restart(&self, newer: &Config) -> Vec<&'static str> {
         let limits = |config: &Config| (config.max_sockets, config.max_memory_bytes);
         let unchanged = [
@@ -90,7 +91,7 @@
         unchanged.into_iter().filter(|(_, same)| !same).map(|(field, _)| field).collect()
     }
 
-    /// Says which setting the router cannot serve with.
+    /// Checks that the settings contain everything that the router needs to serve queries.
     fn check_settings(&self) -> Result<(), ConfigError> {
         if self.settings.named_classes().next().is_none() {
             return Err(ConfigError::NoServiceClass);
@@ -104,14 +105,14 @@
     }
 }
 
-/// Says why queries of a service class cannot be served.
+/// Checks that the router can serve queries of a service class.
 fn check_service_class(class: &ClassSettings) -> Result<(), ConfigError> {
     let name = || class.name.clone();
     if class.deadline <= 0 {
         return Err(ConfigError::InvalidDeadline { class: name() });
     }
-    // Without the client's key a node cannot recognize a repeated request, and the protocol has no field for
-    // it.
+    // A node cannot detect duplicate requests without the client's idempotency key, and the protocol has no field for
+    // the key.
     if class.idempotency == Idempotency::Keyed {
         return Err(ConfigError::UnsupportedIdempotencyKey { class: name() });
     }
@@ -121,7 +122,7 @@
     Ok(())
 }
 
-/// The settings that must be at least 1, by their path in the file, and whether they are.
+/// Returns the path of each setting that must be at least 1, and whether it is.
 fn required_settings(settings: &Settings) -> [(&'static str, bool); 7] {
     let Settings { shards, batch, limits, .. } = settings;
     let is_positive = |count: Option<usize>| count.is_some_and(|count| count >= 1);
@@ -136,11 +137,11 @@
     ]
 }
 
-/// Typed access to the fields of a configuration by their path.
+/// Typed access to the fields of a configuration by path. The parts of a path are separated by `/`.
 struct Fields<'a>(&'a Json);
 
 impl<'a> Fields<'a> {
-    /// A field, unless it is absent or null.
+    /// Returns a field; `None` if it is absent or null.
     fn optional(&self, field: &str) -> Option<&'a Json> {
         self.0.pointer(&format!("/{field}")).filter(|value| !value.is_null())
     }
--- a/crates/query-router/src/config/error.rs
+++ b/crates/query-router/src/config/error.rs
@@ -1,11 +1,11 @@
-//! What can be wrong with a configuration.
+//! Errors of the configuration file.
 
 use serde_json::Value as Json;
 use settings_schema::SettingsError;
 use std::net::AddrParseError;
 use std::num::ParseIntError;
 
-/// Why a configuration file cannot be used.
+/// The configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigFileError {
@@ -14,22 +14,22 @@
     Unreadable {
         /// The path of the file.
         path: String,
-        /// What the system reported.
+        /// The error of the system call.
         source: std::io::Error,
     },
-    /// The file was read, and its content cannot be used.
+    /// The content of the file is invalid.
     #[error("{path}: {source}")]
     Invalid {
         /// The path of the file.
         path: String,
-        /// What is wrong with the content.
+        /// The first error in the content.
         source: ConfigError,
     },
 }
 
 impl ConfigFileError {
-    /// What the system reported, if the file could not be read.
-    pub(crate) fn cause(&self) -> Option<&std::io::Error> {
+    /// Returns the I/O error if the file could not be read.
+    pub(crate) fn io_error(&self) -> Option<&std::io::Error> {
         match self {
             ConfigFileError::Unreadable { source, .. } => Some(source),
             ConfigFileError::Invalid { .. } => None,
@@ -37,98 +37,98 @@
     }
 }
 
-/// What a configuration lacks or states wrongly. Fields are named by their path in the file.
+/// A field of the configuration is missing or invalid. Messages name the field by its path in the file.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ConfigError {
     /// The text is not JSON.
-    #[error("it is not JSON: {0}")]
+    #[error("invalid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// A field that the router needs is absent or null.
-    #[error("{field}: it is missing")]
+    /// A required field is absent or null.
+    #[error("{field}: required field is missing")]
     Missing {
         /// The path of the field.
         field: &'static str,
     },
-    /// A field is of the wrong type or out of its range.
-    #[error("{field}: {value} is not {expected}")]
+    /// A field has the wrong type or is out of range.
+    #[error("{field}: expected {expected}, found {value}")]
     WrongType {
         /// The path of the field.
         field: &'static str,
-        /// What the field states.
+        /// The value in the file.
         value: Json,
-        /// What it should state.
+        /// The expected type and range.
         expected: ExpectedType,
     },
     /// A field is not an IP address with a port.
-    #[error("{field}: '{value}' is not an address with a port")]
+    #[error("{field}: expected an IP address with a port, found '{value}'")]
     InvalidAddress {
         /// The path of the field.
         field: &'static str,
-        /// What the field states.
+        /// The value in the file.
         value: String,
-        /// Why it is no address.
+        /// The error of the address parser.
         source: AddrParseError,
     },
-    /// The seed is not a hexadecimal number of 64 bits.
-    #[error("seed: '{value}' is not 16 hex digits")]
+    /// The seed is not a 64-bit hexadecimal number.
+    #[error("seed: expected up to 16 hexadecimal digits, found '{value}'")]
     InvalidSeed {
-        /// What the field states.
+        /// The value in the file.
         value: String,
-        /// Why it is no such number.
+        /// The error of the integer parser.
         source: ParseIntError,
     },
-    /// The settings of the deployment cannot be read.
+    /// The settings of the deployment cannot be parsed.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// No service class is configured, so no query could be served.
-    #[error("settings.services: no service class is named")]
+    #[error("settings.services: no service class has a name")]
     NoServiceClass,
-    /// A service class has no deadline, or one that is not positive.
+    /// The deadline of a service class is missing or not positive.
     #[error("settings.services: {class}: deadlineNs is missing or not positive")]
     InvalidDeadline {
         /// The name of the service class.
         class: String,
     },
-    /// A service class relies on idempotency keys, which the protocol has no way to send to a node.
-    #[error("settings.services: {class}: idempotency_key is not served")]
+    /// A service class relies on idempotency keys, for which the protocol of the data nodes has no field.
+    #[error("settings.services: {class}: idempotency_key is not supported")]
     UnsupportedIdempotencyKey {
         /// The name of the service class.
         class: String,
     },
-    /// A service class asks for second steps.
-    #[error("settings.familyInfo.secondStep: {class}: second steps are not served")]
+    /// A service class requires a second step, which the router does not support.
+    #[error("settings.familyInfo.secondStep: {class}: a second step is not supported")]
     UnsupportedSecondStep {
         /// The name of the service class.
         class: String,
     },
-    /// A setting that the router needs is absent or below 1.
-    #[error("settings.{field}: it is missing or under 1")]
+    /// A required setting is absent or below 1.
+    #[error("settings.{field}: expected a number of at least 1")]
     SettingTooSmall {
         /// The path of the setting below `settings`.
         field: &'static str,
     },
 }
 
-/// What a field of the configuration should state.
+/// The type and range that a field of the configuration must have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedType {
-    /// A string.
+    /// A JSON string.
     Text,
-    /// An array.
+    /// A JSON array.
     List,
-    /// An integer that is not negative.
+    /// An integer of 0 or more.
     NonNegativeInteger,
-    /// A number above 0.
+    /// An integer or decimal number greater than 0.
     PositiveNumber,
 }
 
 impl std::fmt::Display for ExpectedType {
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         formatter.write_str(match self {
-            ExpectedType::Text => "a text",
-            ExpectedType::List => "a list",
-            ExpectedType::NonNegativeInteger => "a whole number",
+            ExpectedType::Text => "a string",
+            ExpectedType::List => "an array",
+            ExpectedType::NonNegativeInteger => "a non-negative integer",
             ExpectedType::PositiveNumber => "a positive number",
         })
     }
--- a/crates/query-router/src/config/tests.rs
+++ b/crates/query-router/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! The configuration: what is read of it, and what is wrong with it.
+//! Tests of parsing and validating the configuration.
 
 use super::*;
 
@@ -50,11 +50,11 @@
 }
 
 #[test]
-fn error_says_what_is_stated_and_what_is_expected() {
+fn type_error_states_the_expected_and_the_actual_value() {
     let mut config = valid_config();
     config["limits"]["memory_mb"] = "48".into();
-    let error = Config::parse(&config.to_string()).expect_err("a text is no number");
-    assert_eq!(error.to_string(), "limits/memory_mb: \"48\" is not a positive number");
+    let error = Config::parse(&config.to_string()).expect_err("a string is not a number");
+    assert_eq!(error.to_string(), "limits/memory_mb: expected a positive number, found \"48\"");
 }
 
 #[test]
@@ -63,14 +63,14 @@
 }
 
 #[test]
-fn error_of_a_file_names_its_path() {
-    let error = Config::read("/nonexistent/router.json").expect_err("there is no such file");
+fn error_of_an_unreadable_file_names_its_path() {
+    let error = Config::read("/nonexistent/router.json").expect_err("the file does not exist");
     assert!(matches!(error, ConfigFileError::Unreadable { .. }));
     assert!(error.to_string().starts_with("/nonexistent/router.json: "), "{error}");
 }
 
 #[test]
-fn a_changed_setting_needs_a_restart_also_if_no_code_reads_it() {
+fn a_changed_setting_needs_a_restart_even_if_the_router_does_not_use_it() {
     let parse = |config: &Json| Config::parse(&config.to_string()).expect("valid");
     let running = parse(&valid_config());
     for (path, value, fields) in [
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn each_required_setting_is_named_if_it_is_absent_or_below_one() {
+fn error_names_each_required_setting_that_is_absent_or_below_one() {
     for field in [
         "familyInfo.sets",
         "familyInfo.shards",
@@ -100,15 +100,15 @@
             let path = format!("/settings/{}", field.replace('.', "/"));
             *invalid.pointer_mut(&path).expect("a field") = value;
             let error = Config::parse(&invalid.to_string()).expect_err(field).to_string();
-            assert_eq!(error, format!("settings.{field}: it is missing or under 1"));
+            assert_eq!(error, format!("settings.{field}: expected a number of at least 1"));
         }
     }
 }
 
 #[test]
-fn a_class_that_cannot_be_served_is_named_with_the_reason() {
+fn error_names_the_service_class_that_cannot_be_served_and_the_reason() {
     for (path, value, message) in [
-        ("/settings/services/0/name", Json::Null, "settings.services: no service class is named"),
+        ("/settings/services/0/name", Json::Null, "settings.services: no service class has a name"),
         (
             "/settings/services/0/deadlineNs",
             999.into(),
@@ -117,12 +117,12 @@
         (
             "/settings/services/0/idempotency",
             "idempotency_key".into(),
-            "settings.services: look: idempotency_key is not served",
+            "settings.services: look: idempotency_key is not supported",
         ),
         (
             "/settings/familyInfo/secondStep",
             serde_json::json!([1]),
-            "settings.familyInfo.secondStep: look: second steps are not served",
+            "settings.familyInfo.secondStep: look: a second step is not supported",
         ),
     ] {
         let mut invalid = valid_config();
--- a/crates/query-router/src/counters.rs
+++ b/crates/query-router/src/counters.rs
@@ -1,16 +1,16 @@
-//! Counters of what was received, sent and answered, and of violated invariants. They are printed on SIGUSR1 and at the
-//! exit, and served under `/-/counters`.
+//! Counters of requests, attempts, connections and discovery, and of violated invariants. They are printed on SIGUSR1
+//! and at exit, and served at `/-/counters`.
 
 use std::fmt::Write;
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// The counters of a router since its start.
+        /// The event counts of a router since its start.
         #[derive(Debug, Default)]
         pub struct Counters { $($(#[$doc])* pub $name: u64),* }
 
         impl Counters {
-            /// One line for each counter: its name and its value.
+            /// Returns one line per counter: the name, a space and the value.
             pub fn lines(&self) -> String {
                 let mut text = String::new();
                 $(let _ = writeln!(text, "{} {}", stringify!($name), self.$name);)*
@@ -21,29 +21,29 @@
 }
 
 counters!(
-    /// Connections of clients that were accepted.
+    /// Client connections that were accepted.
     client_connections_arrived,
-    /// Connections of clients that had to wait for a free socket.
+    /// Client connections that had to wait for a free socket.
     client_connections_delayed,
-    /// Idle connections of clients that were closed to make room for others.
+    /// Idle client connections that were closed to make room for others.
     client_connections_evicted,
-    /// Requests that were malformed or whose query was invalid.
+    /// Requests that were malformed or contained an invalid query.
     requests_invalid,
-    /// Requests that were rejected while incomplete, since incomplete requests together took too much memory.
+    /// Requests that were rejected while incomplete because all incomplete requests together exceeded the memory limit.
     requests_over_memory,
-    /// Requests that stayed incomplete and were given up.
+    /// Requests that timed out before they were received completely.
     client_requests_stalled,
-    /// Answers that their clients did not read in time.
+    /// Answers that the client did not read in time.
     client_answers_unread,
-    /// Queries that were accepted and reported to the balancer.
+    /// Queries that were accepted and passed to the balancer.
     queries_accepted,
     /// Queries that were rejected because too many queries and shard requests were in flight.
     queries_over_limit,
     /// Queries whose client disconnected before the answer.
     queries_abandoned_by_client,
-    /// Queries that were answered in full.
+    /// Queries that were answered completely.
     queries_complete,
-    /// Queries that were answered in part.
+    /// Queries that were answered partially.
     queries_partial,
     /// Queries that were rejected and are safe to retry.
     queries_rejected,
@@ -51,78 +51,78 @@
     queries_failed,
     /// Attempts that the balancer requested.
     attempts_requested,
-    /// Further attempts at shard requests of which no attempt was in flight.
+    /// Retries: further attempts at a shard request that had no attempt in flight.
     attempts_retried,
-    /// Further attempts at shard requests while one was in flight.
+    /// Hedged attempts: further attempts at a shard request that had another attempt in flight.
     attempts_hedged,
-    /// Attempts that were handed to a connection for writing.
+    /// Attempts that were queued for writing on a connection.
     attempts_sent,
-    /// Batches that were handed to a connection for writing.
+    /// Batches that were queued for writing on a connection.
     batches_sent,
-    /// Batches that moved from a connection that was not yet established to an idle one.
+    /// Batches that were moved from a connection that was still being established to an idle one.
     batches_reassigned,
-    /// Attempts that gave a value.
+    /// Attempts that returned a value.
     attempts_succeeded,
-    /// Attempts that the node answered with an error.
+    /// Attempts to which the node responded with an error.
     attempts_server_error,
     /// Attempts that the node rejected without executing them.
     attempts_rejected,
-    /// Attempts that were not answered in time.
+    /// Attempts that received no response in time.
     attempts_timed_out,
     /// Attempts whose connection could not be established.
     attempts_connect_failed,
-    /// Attempts whose connection ended after they were written.
+    /// Attempts whose connection was closed or failed after they were written.
     attempts_connection_lost,
     /// Attempts that were cancelled after they were written.
     attempts_cancelled,
-    /// Attempts that ended before they were completely written.
+    /// Attempts that ended before they were written completely.
     attempts_not_sent,
     /// Attempts whose response could not be parsed.
     attempts_malformed_response,
-    /// Responses to shard requests that were not in flight on their connection.
+    /// Responses to shard requests that were not in flight on the connection.
     responses_late,
-    /// Frames that could not be parsed while an attempt was in flight on their connection, and notices of nodes that
-    /// they could not parse a frame.
+    /// Malformed frames received while an attempt was in flight on the connection, and notices from nodes that they
+    /// could not parse a frame.
     frames_malformed,
-    /// Frames that could not be parsed while no attempt was in flight on their connection.
+    /// Malformed frames received while no attempt was in flight on the connection.
     frames_unexpected,
-    /// Connections to nodes that were begun.
+    /// Connections to nodes that the router started to open.
     node_connections_opened,
-    /// Times that this machine lacked something to open a connection to a node.
+    /// Connections to nodes that were delayed by a local shortage, such as of ports or file descriptors.
     node_connections_delayed,
     /// Connections to nodes that were never established.
     node_connections_failed,
     /// Connections to nodes that were closed while idle.
     node_connections_closed_idle,
-    /// Health checks that were handed to a connection for writing.
+    /// Health checks that were queued for writing on a connection.
     health_checks_sent,
-    /// Full endpoint lists that were applied, the one known at the start included.
+    /// Full endpoint lists that were applied, including the cached one from the configuration.
     endpoint_lists_full,
-    /// Incremental endpoint lists that were applied.
+    /// Incremental endpoint updates that were applied.
     endpoint_lists_incremental,
-    /// Answers of discovery that could not be used.
+    /// Responses of discovery that could not be used.
     endpoint_lists_invalid,
-    /// Endpoint lists that were skipped because a newer one had been applied before.
+    /// Endpoint lists that were skipped because a newer revision was already applied.
     endpoint_lists_stale,
-    /// Watches that sent nothing for too long and were replaced.
+    /// Watches that were replaced because discovery sent nothing for too long.
     endpoint_watches_silent,
-    /// Polls and watches that were begun.
+    /// Polls and watches that were started.
     discovery_requests,
     /// Polls and watches that failed.
     discovery_failures,
-    /// The most connections that were open at a time.
+    /// The highest number of connections open at the same time.
     sockets_peak,
-    /// Decisions of the balancer.
+    /// Decisions made by the balancer.
     decisions,
-    /// Violated invariants. Any value but 0 is a fault of the router.
+    /// Violated invariants. A value other than 0 is a bug in the router.
     invariants_violated,
 );
 
-/// Checks an invariant: panics in debug builds if it is violated, counts the violation in release builds.
+/// Checks an invariant. A violation panics in debug builds and increments `invariants_violated` in release builds.
 macro_rules! debug_invariant {
-    ($counters:expr, $holds:expr, $what:literal) => {
-        if !$holds {
-            debug_assert!(false, $what);
+    ($counters:expr, $condition:expr, $message:literal) => {
+        if !$condition {
+            debug_assert!(false, $message);
             $counters.invariants_violated += 1;
         }
     };
--- a/crates/query-router/src/event_loop/clock.rs
+++ b/crates/query-router/src/event_loop/clock.rs
@@ -3,24 +3,24 @@
 use balancer::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Time in Unix microseconds that never goes back: the system's time is read once, and monotonic time is
+/// A clock in Unix microseconds that never goes backwards: the wall clock is read once, and elapsed monotonic time is
 /// added to it.
 pub(super) struct Clock {
-    /// The system's time at the start.
-    started_at: Micros,
-    /// The monotonic time at the start.
-    started: Instant,
+    /// The wall-clock time at the creation of the clock, in Unix microseconds.
+    unix_start: Micros,
+    /// The monotonic time at the creation of the clock.
+    monotonic_start: Instant,
 }
 
 impl Clock {
-    /// Starts a clock at the system's time.
+    /// Creates a clock that starts at the current wall-clock time.
     pub(super) fn new() -> Clock {
         let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started_at: unix_time.as_micros() as Micros, started: Instant::now() }
+        Clock { unix_start: unix_time.as_micros() as Micros, monotonic_start: Instant::now() }
     }
 
-    /// The present time in Unix microseconds.
+    /// Returns the current time in Unix microseconds.
     pub(super) fn now(&self) -> Micros {
-        self.started_at + self.started.elapsed().as_micros() as Micros
+        self.unix_start + self.monotonic_start.elapsed().as_micros() as Micros
     }
 }
--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out the effects that the router asks for, and reports the events that follow from them.
+//! Execution of the effects that the router requests, and the reports of the events that follow from them.
 
 use super::pending_event::PendingEvent;
 use super::retries::Retry;
@@ -13,13 +13,13 @@
 use std::rc::Rc;
 
 impl Server {
-    /// Reports an event to the router and carries out the effects that it asks for.
+    /// Reports an event to the router and executes the effects that the router requests.
     pub(super) fn report_event(&mut self, event: Event) {
         self.router.step(self.clock.now(), event);
         self.carry_out_effects();
     }
 
-    /// Carries out the effects that the router asks for and reports the events that follow, until neither is left.
+    /// Executes the requested effects and reports the events that follow from them, until neither is left.
     pub(super) fn carry_out_effects(&mut self) {
         loop {
             for effect in self.router.take_effects() {
@@ -28,7 +28,7 @@
             let now = self.clock.now();
             match self.pending_events.pop_front() {
                 None => return,
-                Some(PendingEvent::ReadAgain(connection)) => {
+                Some(PendingEvent::RedeliverInput(connection)) => {
                     if self.socket(connection).is_some_and(Socket::is_input_full) {
                         self.read_in_next_iteration(connection);
                     }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Carries out one effect. Events that follow from it are queued.
+    /// Executes one effect and queues the events that follow from it.
     fn carry_out(&mut self, effect: Effect) {
         match effect {
             Effect::Accept(connection) => {
@@ -58,7 +58,7 @@
             Effect::Connect { connection, address } => self.connect(connection, address),
             Effect::Consume { connection, count } => self.consume(connection, count),
             Effect::Redeliver(connection) => {
-                self.pending_events.push_back(PendingEvent::ReadAgain(connection))
+                self.pending_events.push_back(PendingEvent::RedeliverInput(connection))
             }
             Effect::Write { connection, buffers } => self.write(connection, buffers),
             Effect::WriteIfOpen { connection, buffers, expected } => {
@@ -72,7 +72,7 @@
             Effect::Close(connection) => {
                 self.retries.remove(connection);
                 self.remove_socket(connection);
-                // The id may be reused, so events of this connection must not be reported any more.
+                // The router may reuse the id, so queued events of the closed connection must not be reported.
                 self.pending_events.retain(|event| event.connection() != connection);
             }
             Effect::CloseIfIdle(connection) => self.close_if_idle(connection),
@@ -93,22 +93,22 @@
         }
     }
 
-    /// Opens a connection a little later, since this machine lacks something for it.
+    /// Schedules another attempt to open a connection after a local shortage.
     fn delay_opening(&mut self, connection: ConnectionId, error: &std::io::Error, retry: Retry) {
         let now = self.clock.now();
-        tracing::debug!(connection = connection.0, %error, "opening a connection delayed");
+        tracing::debug!(connection = connection.0, %error, "connect delayed by a local shortage; retrying");
         self.retries.add(now, connection, retry);
         self.pending_events.push_back(PendingEvent::ConnectDelayed(connection));
     }
 
-    /// Repeats the calls that were delayed for long enough.
+    /// Repeats the calls whose retry time is reached.
     pub(super) fn run_due_retries(&mut self) {
         for (connection, retry) in self.retries.take_due(self.clock.now()) {
             match retry {
                 Retry::Connect(address) => self.connect(connection, address),
                 Retry::Register(stream, state) => self.register(connection, stream, state),
                 Retry::CloseIfIdle => self.close_if_idle(connection),
-                Retry::Transfer => {
+                Retry::ReadAndWrite => {
                     let readiness = Readiness { readable: true, writable: true, error: false };
                     self.ready.push((connection, readiness));
                 }
@@ -117,9 +117,9 @@
         self.carry_out_effects();
     }
 
-    /// Has a connection read and written a little later, since this machine lacked something for it.
-    pub(super) fn transfer_later(&mut self, connection: ConnectionId) {
-        self.retries.add(self.clock.now(), connection, Retry::Transfer);
+    /// Schedules another attempt to read and write on a connection after a local shortage.
+    pub(super) fn read_and_write_later(&mut self, connection: ConnectionId) {
+        self.retries.add(self.clock.now(), connection, Retry::ReadAndWrite);
     }
 
     fn consume(&mut self, connection: ConnectionId, count: usize) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Closes a connection on which nothing has come in. Unread bytes, or an unread end, are handled when the loop
+    /// Closes a connection that has no unread input. Unread bytes or an unread end of stream are handled when the loop
     /// reads them.
     fn close_if_idle(&mut self, connection: ConnectionId) {
         match self.unread(connection) {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Writes, unless the peer has closed or has sent something unexpected: then it closes the connection.
+    /// Writes buffers, or closes the connection if the peer has closed it or sent unexpected bytes.
     fn write_if_open(&mut self, connection: ConnectionId, buffers: Vec<Bytes>, expected: ExpectedInput) {
         match self.unread(connection) {
             Some(Unread::End) => self.close_and_report(connection),
@@ -156,29 +156,30 @@
         }
     }
 
-    /// Writes what is queued on a connection as far as the socket takes it.
+    /// Writes the queued output of a connection until the send buffer of the socket is full.
     pub(super) fn write_queued(&mut self, connection: ConnectionId) {
         let Some(socket) = self.socket_mut(connection) else { return };
         match socket.write_queued() {
             WriteOutcome::Flushed => self.pending_events.push_back(PendingEvent::Flushed(connection)),
-            // Bytes that were received before the connection broke are still read; its end is found then.
+            // Bytes received before the failure are still read; that read also detects the end of the connection.
             WriteOutcome::Failed => self.read_in_next_iteration(connection),
-            WriteOutcome::LocalShortage => self.transfer_later(connection),
+            WriteOutcome::LocalShortage => self.read_and_write_later(connection),
             WriteOutcome::NothingQueued | WriteOutcome::WouldBlock => {}
         }
     }
 
-    /// What has come in on a connection and was not read yet; `None` if there is no such connection.
+    /// Checks a connection for unread input; `None` if the connection is not open.
     pub(super) fn unread(&self, connection: ConnectionId) -> Option<Unread> {
         self.socket(connection).map(Socket::unread)
     }
 
-    /// Has a connection read in the next iteration, although the system did not report it readable again.
+    /// Schedules a read in the next iteration, because the edge-triggered source does not report input again that was
+    /// reported before.
     pub(super) fn read_in_next_iteration(&mut self, connection: ConnectionId) {
         self.ready.push((connection, Readiness { readable: true, writable: false, error: false }));
     }
 
-    /// Closes a connection and queues the report of its end, unless it was closed before.
+    /// Closes a connection and queues [`PendingEvent::Ended`], unless it is closed already.
     pub(super) fn close_and_report(&mut self, connection: ConnectionId) {
         let was_unopened = self.retries.remove(connection);
         if let Some(socket) = self.remove_socket(connection) {
@@ -189,19 +190,19 @@
         }
     }
 
-    /// Queues the report that a connection could not be opened.
+    /// Queues [`PendingEvent::Ended`] for a connection that could not be opened.
     fn report_unopened(&mut self, connection: ConnectionId) {
         self.pending_events.push_back(PendingEvent::Ended { connection, written_bytes: 0 });
     }
 
-    /// Removes a connection from the event loop; it is closed once the socket is dropped.
+    /// Removes a socket from the event loop; dropping the returned value closes the connection.
     fn remove_socket(&mut self, connection: ConnectionId) -> Option<Socket> {
         let socket = self.sockets.get_mut(connection.0)?.take()?;
         self.handle.remove(socket.token());
         Some(socket)
     }
 
-    /// Has the event loop watch a stream under the id that the router gave it.
+    /// Registers a stream with the event loop under the id that the router assigned.
     fn register(&mut self, connection: ConnectionId, stream: TcpStream, state: ConnectState) {
         let stream = Rc::new(stream);
         let source = Generic::new(stream.clone(), Interest::BOTH, Mode::Edge);
@@ -222,12 +223,13 @@
         self.sockets[connection.0] = Some(Socket::new(stream, token, state));
     }
 
-    /// Handles that the event loop could not watch a stream: tries again later if this machine lacked something for it.
+    /// Handles a failed registration with the event loop: schedules a retry if the error is transient, else reports
+    /// that the connection could not be opened.
     fn register_later(
         &mut self, connection: ConnectionId, stream: Rc<TcpStream>, state: ConnectState,
         error: &calloop::Error,
     ) {
-        match (system_error::cause_of(error), Rc::try_unwrap(stream)) {
+        match (system_error::io_error_of(error), Rc::try_unwrap(stream)) {
             (Some(cause), Ok(stream)) if system_error::is_transient(cause) => {
                 self.delay_opening(connection, cause, Retry::Register(stream, state));
             }
--- a/crates/query-router/src/event_loop/error.rs
+++ b/crates/query-router/src/event_loop/error.rs
@@ -1,41 +1,41 @@
-//! Errors that keep the event loop from starting or from going on.
+//! Errors that prevent the event loop from starting or continuing.
 
-use super::system_error::cause_of;
+use super::system_error::io_error_of;
 use std::net::SocketAddr;
 
-/// Why the router cannot serve.
+/// The router cannot start or cannot continue to serve.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum ServeError {
-    /// The signals cannot be blocked and read.
+    /// The signals cannot be blocked, or their event source cannot be registered.
     #[error("signals: {0}")]
     Signals(#[source] calloop::Error),
     /// The event loop cannot be created, or waiting for events failed.
     #[error("event loop: {0}")]
     EventLoop(#[source] calloop::Error),
-    /// The configured address cannot be listened on.
+    /// The listening socket cannot be bound to the configured address.
     #[error("listen on {address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
-        /// What the system reported.
+        /// The error of the system call.
         source: std::io::Error,
     },
     /// The listener cannot be registered with the event loop.
-    #[error("listener: {0}")]
+    #[error("registering the listener: {0}")]
     RegisterListener(#[source] calloop::Error),
-    /// The address that the listener is bound to cannot be read.
-    #[error("listener: {0}")]
+    /// The local address of the listener cannot be read.
+    #[error("reading the address of the listener: {0}")]
     ListenerAddress(#[source] std::io::Error),
 }
 
 impl ServeError {
-    /// The system's error behind it, if there is one.
-    pub(super) fn cause(&self) -> Option<&std::io::Error> {
+    /// Returns the I/O error that caused this error, if there is one.
+    pub(super) fn io_error(&self) -> Option<&std::io::Error> {
         match self {
             ServeError::Signals(error)
             | ServeError::EventLoop(error)
-            | ServeError::RegisterListener(error) => cause_of(error),
+            | ServeError::RegisterListener(error) => io_error_of(error),
             ServeError::Listen { source, .. } | ServeError::ListenerAddress(source) => Some(source),
         }
     }
--- a/crates/query-router/src/event_loop/iteration.rs
+++ b/crates/query-router/src/event_loop/iteration.rs
@@ -1,4 +1,4 @@
-//! The iterations of the event loop: events are reported in a fixed order, then the router decides once.
+//! One iteration of the event loop: events are reported to the router in a fixed order, then the router decides once.
 
 use super::listener::AcceptOutcome;
 use super::server::{ExitState, Server};
@@ -8,23 +8,23 @@
 use calloop::Readiness;
 use std::time::Duration;
 
-/// How often one connection is read in an iteration of the event loop.
+/// Maximum number of reads from one connection per iteration, so that a fast sender cannot starve other connections.
 const MAX_READS_PER_ITERATION: usize = 4;
 
 impl Server {
-    /// The longest time to wait for events; `None` if no timer is set.
+    /// Returns the maximum time to wait for events; `None` (no limit) if no timer is set.
     pub(super) fn poll_timeout(&self) -> Option<Duration> {
         let now = self.clock.now();
         if !self.ready.is_empty() {
             return Some(Duration::ZERO);
         }
-        let reload_at = self.pending_reload.as_ref().map(|reload| reload.at);
-        let wake_times = [self.wake_at, self.listener.resume_at(), self.retries.next_at(), reload_at];
+        let reload_at = self.pending_reload.as_ref().map(|reload| reload.retry_at);
+        let wake_times = [self.wake_at, self.listener.resume_at(), self.retries.next_due_at(), reload_at];
         let next = wake_times.into_iter().flatten().min();
         next.map(|at| Duration::from_micros((at - now).max(0) as u64))
     }
 
-    /// Reports all events to the router, then has it decide once.
+    /// Reports all pending events to the router, then lets it decide once.
     pub(super) fn run_iteration(&mut self) {
         self.handle_ready_connections();
         self.run_due_retries();
@@ -32,7 +32,7 @@
             self.accept_clients();
         }
         self.handle_signals();
-        self.repeat_reload();
+        self.retry_reload();
         if self.wake_at.is_some_and(|at| at <= self.clock.now()) {
             self.report_event(Event::TimerExpired);
         }
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Handles established connections before those that are being established. Guards against a request that
-    /// goes out on a connection established in this iteration, although its client disconnected or its node began to
-    /// drain in the same iteration.
+    /// Handles established connections before those that are being established. Otherwise a request could be sent on a
+    /// connection established in this iteration although, in the same iteration, its client disconnected or its node
+    /// began to drain.
     fn handle_ready_connections(&mut self) {
         let ready = std::mem::take(&mut self.ready);
         let (connected, connecting): (Vec<_>, Vec<_>) = ready
@@ -61,7 +61,7 @@
         if !socket.is_connected() {
             match socket.finish_connecting() {
                 ConnectProgress::Pending => return,
-                ConnectProgress::Unknown => return self.transfer_later(connection),
+                ConnectProgress::Unknown => return self.read_and_write_later(connection),
                 ConnectProgress::Failed => {
                     self.close_and_report(connection);
                     return self.carry_out_effects();
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Reads until nothing is left or the input buffer is full, and reports what was received.
+    /// Reads until no bytes are available, the input buffer is full or [`MAX_READS_PER_ITERATION`] is reached. Reports
+    /// the received bytes to the router after each read.
     fn read(&mut self, connection: ConnectionId) {
         for _ in 0..MAX_READS_PER_ITERATION {
             let Some(Some(socket)) = self.sockets.get_mut(connection.0) else { return };
@@ -88,26 +89,27 @@
                     self.carry_out_effects();
                 }
                 ReadOutcome::Interrupted => {}
-                ReadOutcome::LocalShortage => return self.transfer_later(connection),
+                ReadOutcome::LocalShortage => return self.read_and_write_later(connection),
                 ReadOutcome::WouldBlock | ReadOutcome::BufferFull => return,
                 ReadOutcome::EndOfStream => {
                     self.router.step(self.clock.now(), Event::PeerClosed(connection));
-                    return self.close_after_reading(connection);
+                    return self.close_after_read(connection);
                 }
-                ReadOutcome::Failed => return self.close_after_reading(connection),
+                ReadOutcome::Failed => return self.close_after_read(connection),
             }
         }
-        // Guards against a peer that sends at full speed and keeps all others waiting.
+        // The connection may still be readable, but the edge-triggered source does not report that again.
         self.read_in_next_iteration(connection);
     }
 
-    /// Closes a connection whose end was read.
-    fn close_after_reading(&mut self, connection: ConnectionId) {
+    /// Closes a connection after a read returned the end of the stream or an error.
+    fn close_after_read(&mut self, connection: ConnectionId) {
         self.close_and_report(connection);
         self.carry_out_effects();
     }
 
-    /// Accepts clients while the router takes them, then pauses the listener. Returns how the last attempt ended.
+    /// Accepts clients until none is waiting, accepting fails, or the router does not take an accepted stream. Pauses
+    /// the listener in the last two cases. Returns the outcome of the last attempt.
     fn accept_clients(&mut self) -> AcceptOutcome {
         let mut outcome = AcceptOutcome::Accepted;
         while !self.listener.has_accepted() {
@@ -132,18 +134,18 @@
         }
     }
 
-    /// Has the router decide, and carries out the effects that it asks for.
+    /// Lets the router decide, and executes the effects that it requests.
     pub(super) fn decide(&mut self) {
         self.router.decide(self.clock.now());
         self.carry_out_effects();
     }
 
-    /// Ends the loop if the router asked for it and still has nothing to wait for. Guards against resetting a client
-    /// that connected since the listener was last looked at.
+    /// Ends the loop if the router requested the exit and still has no work. Accepts waiting clients first: exiting
+    /// would reset the connection of a client that connected after the previous accept.
     fn exit_if_requested(&mut self) {
         if self.exit == ExitState::Requested {
-            let is_nobody_waiting = self.accept_clients() == AcceptOutcome::NoneWaiting;
-            self.exit = if is_nobody_waiting && self.router.may_exit() {
+            let no_client_waiting = self.accept_clients() == AcceptOutcome::NoneWaiting;
+            self.exit = if no_client_waiting && self.router.may_exit() {
                 ExitState::Done
             } else {
                 ExitState::Running
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -1,9 +1,9 @@
-//! The listening socket for clients. It is paused while an accepted stream waits for a free place, and for a
-//! short time after accepting failed.
+//! The listening socket for clients. It is paused while the router is at its connection limit and has not taken the
+//! last accepted stream, and for [`RETRY_PAUSE`] after accepting failed.
 
 use super::clock::Clock;
 use super::error::ServeError;
-use super::system_error::{MAX_IMMEDIATE_RETRIES, RETRY_PAUSE};
+use super::system_error::{MAX_IMMEDIATE_ATTEMPTS, RETRY_PAUSE};
 use balancer::Micros;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -13,7 +13,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// How often accepting is repeated at once after errors of single connections.
+/// Maximum number of successive `accept` calls that fail with an error of a single connection before accepting is
+/// paused.
 const MAX_ACCEPT_FAILURES: usize = 64;
 
 /// The outcome of an attempt to accept a connection.
@@ -21,26 +22,26 @@
 pub(super) enum AcceptOutcome {
     /// A stream was accepted and queued.
     Accepted,
-    /// No client is waiting.
+    /// The accept queue of the system is empty.
     NoneWaiting,
     /// The system call failed, for example because no file descriptor is left.
     Failed,
 }
 
-/// The listener and the streams accepted from it that the router has not taken yet.
+/// The listener and its accepted streams that the router has not taken yet.
 pub(super) struct ClientListener {
     listener: Rc<TcpListener>,
     token: RegistrationToken,
     /// Whether the event loop watches the listener.
     enabled: bool,
-    /// When to accept again after a failure; 0 if accepting did not fail last time.
+    /// Time at which to accept again after a failure; 0 if the last attempt did not fail.
     retry_at: Micros,
-    /// Streams that the router has not taken yet.
+    /// Accepted streams that the router has not taken yet, in order of arrival.
     accepted: VecDeque<TcpStream>,
 }
 
 impl ClientListener {
-    /// Listens on `address` and has the event loop call `on_pending` when a client is waiting.
+    /// Listens on `address`. The event loop calls `on_pending` when a client is waiting.
     pub(super) fn bind<D: 'static>(
         address: SocketAddr, handle: &LoopHandle<'static, D>, on_pending: impl Fn(&mut D) + 'static,
     ) -> Result<ClientListener, ServeError> {
@@ -57,22 +58,22 @@
         Ok(ClientListener { listener, token, enabled: true, retry_at: 0, accepted: VecDeque::new() })
     }
 
-    /// The address that the listener is bound to, with the port that the system chose if none was configured.
+    /// Returns the address that the listener is bound to; if port 0 is configured, with the port that the system chose.
     pub(super) fn local_address(&self) -> Result<SocketAddr, ServeError> {
         self.listener.local_addr().map_err(ServeError::ListenerAddress)
     }
 
-    /// Whether an accepted stream waits for the router to take it.
+    /// Returns whether there is an accepted stream that the router has not taken yet.
     pub(super) fn has_accepted(&self) -> bool {
         !self.accepted.is_empty()
     }
 
-    /// The stream that was accepted first.
+    /// Removes and returns the stream that was accepted first.
     pub(super) fn take_accepted(&mut self) -> Option<TcpStream> {
         self.accepted.pop_front()
     }
 
-    /// Accepts the next client that is waiting and queues its stream.
+    /// Accepts the next waiting client and queues its stream.
     pub(super) fn accept_next(&mut self, clock: &Clock) -> AcceptOutcome {
         let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
         for _ in 0..MAX_ACCEPT_FAILURES {
@@ -80,28 +81,29 @@
                 Ok(stream) => {
                     self.retry_at = 0;
                     let stream = TcpStream::from(stream);
-                    disable_send_delay(&stream);
+                    disable_nagle_algorithm(&stream);
                     self.accepted.push_back(stream);
                     return AcceptOutcome::Accepted;
                 }
                 Err(Errno::AGAIN) => return AcceptOutcome::NoneWaiting,
-                Err(error) if is_error_of_one_connection(error) => {}
-                Err(error) => return self.pause_after(error, clock),
+                Err(error) if is_connection_error(error) => {}
+                Err(error) => return self.schedule_retry(error, clock),
             }
         }
-        self.pause_after(Errno::CONNABORTED, clock)
+        self.schedule_retry(Errno::CONNABORTED, clock)
     }
 
-    fn pause_after(&mut self, error: Errno, clock: &Clock) -> AcceptOutcome {
+    /// Schedules the next attempt, and logs the first of several successive failures.
+    fn schedule_retry(&mut self, error: Errno, clock: &Clock) -> AcceptOutcome {
         if self.retry_at == 0 {
-            tracing::warn!(%error, "accepting clients failed; retrying");
+            tracing::warn!(%error, "accepting a client connection failed; retrying");
         }
         self.retry_at = clock.now() + RETRY_PAUSE;
         AcceptOutcome::Failed
     }
 
-    /// When the paused listener is to be resumed; `None` if it is not paused, or until the accepted stream is
-    /// taken.
+    /// Returns the time at which to resume the paused listener; `None` if it is not paused or if the router has not
+    /// taken all accepted streams.
     pub(super) fn resume_at(&self) -> Option<Micros> {
         (!self.enabled && self.accepted.is_empty()).then_some(self.retry_at)
     }
@@ -111,15 +113,15 @@
         self.enabled = handle.disable(&self.token).is_err();
     }
 
-    /// Has the event loop watch the listener again.
+    /// Makes the event loop watch the listener again.
     pub(super) fn resume<D>(&mut self, handle: &LoopHandle<'static, D>) {
         self.enabled = handle.enable(&self.token).is_ok();
     }
 }
 
-/// Whether accepting may be repeated at once: it was interrupted, or the connection that it was for has failed, whose
-/// error the system reports in this way.
-fn is_error_of_one_connection(error: Errno) -> bool {
+/// Returns whether `accept` may be repeated immediately: it was interrupted, or it returned an error of the connection
+/// that it removed from the queue, as Linux does.
+fn is_connection_error(error: Errno) -> bool {
     matches!(
         error,
         Errno::INTR
@@ -135,12 +137,12 @@
     )
 }
 
-/// Has the system send small writes at once. Guards against a close over unread bytes, which discards what the system
-/// still holds back.
-fn disable_send_delay(stream: &TcpStream) {
-    let is_set = (0..MAX_IMMEDIATE_RETRIES).any(|_| stream.set_nodelay(true).is_ok());
+/// Disables Nagle's algorithm, so that small writes are sent immediately. Closing a connection that has unread input
+/// resets it, which would discard output that the system has delayed.
+fn disable_nagle_algorithm(stream: &TcpStream) {
+    let is_set = (0..MAX_IMMEDIATE_ATTEMPTS).any(|_| stream.set_nodelay(true).is_ok());
     if !is_set {
-        tracing::warn!("small writes to a client may be held back: TCP_NODELAY was refused");
+        tracing::warn!("setting TCP_NODELAY on a client connection failed; its small writes may be delayed");
     }
 }
 
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -1,5 +1,5 @@
-//! The event loop: sockets, signals and the clock. It reports events to the router and carries out the effects that the
-//! router asks for; it decides nothing and does not interpret the bytes of a connection.
+//! The event loop: sockets, signals and the clock. It reports events to the router's state machine and executes the
+//! effects that the state machine requests. It contains no policy and does not interpret the bytes of a connection.
 
 mod clock;
 mod effects;
@@ -31,21 +31,22 @@
 use server::{ExitState, Server, print_to_stderr};
 use std::collections::VecDeque;
 
-/// Reads the configuration for the start. Where this machine lacks something to read it, that is tried again for a while.
+/// Reads the configuration at the start of the process. Retries like [`retry_at_start`] if a transient error, such as a
+/// shortage of file descriptors, prevents reading the file.
 ///
 /// # Errors
 ///
-/// A [`ConfigFileError`] as of [`Config::read`].
+/// Returns a [`ConfigFileError`] as [`Config::read`] does.
 pub fn read_config(path: &str) -> Result<Config, ConfigFileError> {
-    retry_at_start(|| Config::read(path), ConfigFileError::cause)
+    retry_at_start(|| Config::read(path), ConfigFileError::io_error)
 }
 
-/// Serves queries until SIGTERM or SIGINT, then shuts down gracefully and prints the counters to
-/// standard error. On SIGHUP the configuration is read again from `config_path`.
+/// Serves queries until SIGTERM or SIGINT, then shuts down gracefully and prints the counters to standard error. SIGHUP
+/// reloads the configuration from `config_path`.
 ///
 /// # Errors
 ///
-/// A [`ServeError`] if the router cannot start, or if waiting for events fails.
+/// Returns a [`ServeError`] if the router cannot start, or if polling for events fails repeatedly.
 pub fn serve(signals: SignalSource, config: Config, config_path: String) -> Result<(), ServeError> {
     let (mut event_loop, mut server) = start(signals, config, config_path)?;
     while server.exit != ExitState::Done {
@@ -60,23 +61,23 @@
     Ok(())
 }
 
-/// Listens and registers everything with a new event loop.
+/// Binds the listener and registers the event sources with a new event loop.
 fn start(
     signals: SignalSource, config: Config, config_path: String,
 ) -> Result<(EventLoop<'static, Server>, Server), ServeError> {
     let event_loop =
-        retry_at_start(|| EventLoop::try_new().map_err(ServeError::EventLoop), ServeError::cause)?;
+        retry_at_start(|| EventLoop::try_new().map_err(ServeError::EventLoop), ServeError::io_error)?;
     let handle = event_loop.handle();
     let bind =
         || ClientListener::bind(config.listen, &handle, |server: &mut Server| server.accept_pending = true);
-    let listener = retry_at_start(bind, ServeError::cause)?;
+    let listener = retry_at_start(bind, ServeError::io_error)?;
     let mut signals = Some(signals);
     let register = || {
         SignalSource::register(&mut signals, &handle, |request, server: &mut Server| {
             server.pending_signals.push(request);
         })
     };
-    retry_at_start(register, ServeError::cause)?;
+    retry_at_start(register, ServeError::io_error)?;
     let clock = Clock::new();
     let router = Router::new(&config, clock.now());
     let address = listener.local_address()?;
--- a/crates/query-router/src/event_loop/pending_event.rs
+++ b/crates/query-router/src/event_loop/pending_event.rs
@@ -1,30 +1,31 @@
-//! Events that follow from effects.
+//! Events that follow from executed effects.
 
 use crate::io::ConnectionId;
 
-/// An event that follows from an effect. It is reported to the router after the other effects of the same step.
+/// An event that follows from an executed effect. It is reported to the router after the other effects of the same
+/// step.
 #[derive(Debug)]
 pub(super) enum PendingEvent {
-    /// The router requested that unconsumed bytes are reported again.
-    ReadAgain(ConnectionId),
-    /// This machine could not open the connection yet.
+    /// The unconsumed bytes are to be reported again.
+    RedeliverInput(ConnectionId),
+    /// A local shortage delays opening the connection.
     ConnectDelayed(ConnectionId),
     /// All queued output is written.
     Flushed(ConnectionId),
-    /// The connection is closed.
+    /// The connection is closed, or could not be opened.
     Ended {
-        /// The id that the connection had.
+        /// The former id of the connection.
         connection: ConnectionId,
-        /// How many bytes were written on it in all.
+        /// Total bytes written on the connection; 0 if it was never established.
         written_bytes: u64,
     },
 }
 
 impl PendingEvent {
-    /// The connection that the event is about.
+    /// Returns the connection to which the event belongs.
     pub(super) fn connection(&self) -> ConnectionId {
         match self {
-            PendingEvent::ReadAgain(connection)
+            PendingEvent::RedeliverInput(connection)
             | PendingEvent::ConnectDelayed(connection)
             | PendingEvent::Flushed(connection)
             | PendingEvent::Ended { connection, .. } => *connection,
--- a/crates/query-router/src/event_loop/reload.rs
+++ b/crates/query-router/src/event_loop/reload.rs
@@ -1,57 +1,58 @@
-//! Reading the configuration again. A file that cannot be used changes nothing and is read again for a while: it may be
-//! half written, or this machine may lack a descriptor for it, and the signal that asks for it comes only once.
+//! Reloading the configuration. If the file cannot be used, the running configuration stays in effect and the reload is
+//! retried: the file may be partially written, or no file descriptor may be free, and the signal is sent only once.
 
 use super::server::Server;
 use crate::config::Config;
 use crate::io::Event;
 use balancer::Micros;
 
-/// How long to wait before the configuration is read again.
+/// Time between two attempts to reload the configuration.
 const RETRY_INTERVAL: Micros = 100_000;
-/// For how long a configuration that cannot be used is read again.
+/// Time after the signal at which the reload is abandoned.
 const RETRY_PERIOD: Micros = 10_000_000;
 
-/// A configuration that could not be used and is read again.
+/// A scheduled attempt to reload the configuration after a failed one.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingReload {
-    /// When it is read again.
-    pub(super) at: Micros,
-    /// When the attempts end.
-    given_up_at: Micros,
+    /// Time of the next attempt.
+    pub(super) retry_at: Micros,
+    /// Time from which a failed attempt is the last one.
+    abandoned_at: Micros,
 }
 
 impl Server {
-    /// Reads the configuration again, because a signal asks for it.
+    /// Reloads the configuration after a signal. Schedules retries if the file cannot be used.
     pub(super) fn reload_config(&mut self) {
         self.pending_reload = None;
         match Config::read(&self.config_path) {
             Ok(newer) => self.apply_config(&newer),
             Err(error) => {
-                tracing::warn!(%error, "configuration not reloaded");
+                tracing::warn!(%error, "configuration not reloaded; retrying");
                 let now = self.clock.now();
-                let reload = PendingReload { at: now + RETRY_INTERVAL, given_up_at: now + RETRY_PERIOD };
+                let reload =
+                    PendingReload { retry_at: now + RETRY_INTERVAL, abandoned_at: now + RETRY_PERIOD };
                 self.pending_reload = Some(reload);
             }
         }
     }
 
-    /// Reads a configuration that could not be used once more, if that is due.
-    pub(super) fn repeat_reload(&mut self) {
+    /// Repeats a failed reload if its next attempt is due.
+    pub(super) fn retry_reload(&mut self) {
         let now = self.clock.now();
-        let Some(reload) = self.pending_reload.take_if(|reload| reload.at <= now) else { return };
+        let Some(reload) = self.pending_reload.take_if(|reload| reload.retry_at <= now) else { return };
         match Config::read(&self.config_path) {
             Ok(newer) => self.apply_config(&newer),
-            Err(error) if now >= reload.given_up_at => {
-                tracing::warn!(%error, "reload of the configuration given up");
+            Err(error) if now >= reload.abandoned_at => {
+                tracing::warn!(%error, "reload abandoned; the running configuration stays in effect");
             }
-            Err(_) => self.pending_reload = Some(PendingReload { at: now + RETRY_INTERVAL, ..reload }),
+            Err(_) => self.pending_reload = Some(PendingReload { retry_at: now + RETRY_INTERVAL, ..reload }),
         }
     }
 
     fn apply_config(&mut self, newer: &Config) {
         let fields = self.config.fields_needing_restart(newer);
         if !fields.is_empty() {
-            tracing::warn!(fields = fields.join(", "), "changed fields take effect at the next start");
+            tracing::warn!(fields = fields.join(", "), "changed configuration fields require a restart");
         }
         self.report_event(Event::DiscoveryMoved(newer.discovery));
     }
--- a/crates/query-router/src/event_loop/retries.rs
+++ b/crates/query-router/src/event_loop/retries.rs
@@ -1,4 +1,4 @@
-//! Calls that are repeated a little later, since this machine lacked something when they were made.
+//! Calls that failed due to a local shortage and are repeated after [`RETRY_PAUSE`].
 
 use super::socket::ConnectState;
 use super::system_error::RETRY_PAUSE;
@@ -6,61 +6,62 @@
 use balancer::Micros;
 use std::net::{SocketAddr, TcpStream};
 
-/// What is to be done again.
+/// A call to repeat.
 #[derive(Debug)]
 pub(super) enum Retry {
-    /// Open a connection.
+    /// Start connecting to an address.
     Connect(SocketAddr),
-    /// Have the event loop watch a stream.
+    /// Register a stream with the event loop.
     Register(TcpStream, ConnectState),
-    /// Read, write, or look whether the connection is established.
-    Transfer,
-    /// Close the connection if nothing has come in.
+    /// Read and write; before that, check whether the connection is established if that is not known yet.
+    ReadAndWrite,
+    /// Close the connection if it has no unread input.
     CloseIfIdle,
 }
 
 impl Retry {
-    /// Whether the connection has no socket in the event loop yet.
+    /// Returns whether the connection is not registered with the event loop yet.
     fn is_unopened(&self) -> bool {
         matches!(self, Retry::Connect(_) | Retry::Register(..))
     }
 }
 
 #[derive(Debug)]
-struct Pending {
-    at: Micros,
+struct ScheduledRetry {
+    due_at: Micros,
     connection: ConnectionId,
     retry: Retry,
 }
 
-/// The calls that are to be repeated, in the order of their times.
+/// The calls to repeat, in order of their due times.
 #[derive(Debug, Default)]
 pub(super) struct Retries {
-    pending: Vec<Pending>,
+    scheduled: Vec<ScheduledRetry>,
 }
 
 impl Retries {
-    /// Has a call repeated after [`RETRY_PAUSE`].
+    /// Schedules a call to be repeated after [`RETRY_PAUSE`].
     pub(super) fn add(&mut self, now: Micros, connection: ConnectionId, retry: Retry) {
-        self.pending.push(Pending { at: now + RETRY_PAUSE, connection, retry });
+        self.scheduled.push(ScheduledRetry { due_at: now + RETRY_PAUSE, connection, retry });
     }
 
-    /// When the next call is due.
-    pub(super) fn next_at(&self) -> Option<Micros> {
-        self.pending.first().map(|pending| pending.at)
+    /// Returns the time at which the next call is due; `None` if none is scheduled.
+    pub(super) fn next_due_at(&self) -> Option<Micros> {
+        self.scheduled.first().map(|entry| entry.due_at)
     }
 
-    /// Takes the calls that are due.
+    /// Removes and returns the calls that are due.
     pub(super) fn take_due(&mut self, now: Micros) -> Vec<(ConnectionId, Retry)> {
-        let due = self.pending.iter().take_while(|pending| pending.at <= now).count();
-        self.pending.drain(..due).map(|pending| (pending.connection, pending.retry)).collect()
+        let due = self.scheduled.iter().take_while(|entry| entry.due_at <= now).count();
+        self.scheduled.drain(..due).map(|entry| (entry.connection, entry.retry)).collect()
     }
 
-    /// Drops the calls for a connection, which is closed. Returns whether it had no socket yet.
+    /// Drops the scheduled calls of a closed connection. Returns whether it was not registered with the event loop yet.
     pub(super) fn remove(&mut self, connection: ConnectionId) -> bool {
-        let is_unopened = |pending: &Pending| pending.connection == connection && pending.retry.is_unopened();
-        let was_unopened = self.pending.iter().any(is_unopened);
-        self.pending.retain(|pending| pending.connection != connection);
+        let is_unopened =
+            |entry: &ScheduledRetry| entry.connection == connection && entry.retry.is_unopened();
+        let was_unopened = self.scheduled.iter().any(is_unopened);
+        self.scheduled.retain(|entry| entry.connection != connection);
         was_unopened
     }
 }
--- a/crates/query-router/src/event_loop/server.rs
+++ b/crates/query-router/src/event_loop/server.rs
@@ -17,74 +17,74 @@
 use std::io::Write;
 use std::time::Duration;
 
-/// How often in succession waiting for events may fail.
+/// Maximum number of successive failures to wait for events; one more ends the process.
 const MAX_WAIT_FAILURES: usize = 1000;
-/// The pause after waiting for events failed.
+/// Pause after a failure to wait for events.
 const WAIT_FAILURE_PAUSE: Duration = Duration::from_millis(5);
 
-/// Whether the process is about to exit.
+/// The progress towards the exit of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ExitState {
-    /// The router serves, or still has answers to give.
+    /// The router serves, or still has requests to answer.
     Running,
-    /// The router has asked to exit.
+    /// The router has requested the exit with [`Effect::Exit`](crate::io::Effect::Exit).
     Requested,
-    /// No client was connected when the router asked: the loop ends.
+    /// The exit was requested and no client is connected: the loop ends.
     Done,
 }
 
 /// The router with its sockets, signals and clock.
 pub(super) struct Server {
-    /// The handle of the event loop, to register sources with.
+    /// The handle of the event loop, with which event sources are registered.
     pub(super) handle: LoopHandle<'static, Server>,
-    /// The configuration at the start.
+    /// The configuration with which the process started; a reload does not replace it.
     pub(super) config: Config,
-    /// The file from which the configuration is read again.
+    /// The path of the file from which the configuration is reloaded.
     pub(super) config_path: String,
-    /// The time of events.
+    /// The source of the time stamps that are passed to the router.
     pub(super) clock: Clock,
-    /// The state machine.
+    /// The state machine of the router.
     pub(super) router: Router,
-    /// The listening socket.
+    /// The listening socket for clients.
     pub(super) listener: ClientListener,
-    /// Whether the system reported that a client is waiting.
+    /// Whether the system has reported that a client is waiting to be accepted.
     pub(super) accept_pending: bool,
-    /// The connections by id.
+    /// Connections, indexed by id; `None` where no connection with the id is open.
     pub(super) sockets: Vec<Option<Socket>>,
-    /// The connections that became readable or writable since the last iteration.
+    /// Connections to read or write in the next iteration.
     pub(super) ready: Vec<(ConnectionId, Readiness)>,
-    /// Calls that are repeated a little later.
+    /// Calls to repeat after a local shortage.
     pub(super) retries: Retries,
-    /// A configuration that could not be read and is read again.
+    /// The next attempt to reload the configuration after a failed one; `None` if none is scheduled.
     pub(super) pending_reload: Option<PendingReload>,
-    /// How often in succession waiting for events failed.
+    /// Number of successive failures to wait for events.
     pub(super) wait_failures: usize,
-    /// Events that follow from effects, in order.
+    /// Events that follow from executed effects and are not reported yet, in order.
     pub(super) pending_events: VecDeque<PendingEvent>,
-    /// Signals that were received since the last iteration.
+    /// Signals received since the last iteration.
     pub(super) pending_signals: Vec<SignalRequest>,
-    /// When to report [`TimerExpired`](crate::io::Event::TimerExpired).
+    /// Time at which to report [`TimerExpired`](crate::io::Event::TimerExpired); `None` if no timer is set.
     pub(super) wake_at: Option<Micros>,
-    /// The buffer for one read of any connection.
+    /// Scratch buffer for reads from any connection.
     pub(super) read_buffer: Vec<u8>,
     /// Whether the loop is to end.
     pub(super) exit: ExitState,
 }
 
 impl Server {
-    /// Goes on after waiting for events failed. What the system had reported may be lost with it, so every connection and
-    /// the listener are looked at.
+    /// Recovers from a failure to wait for events. Readiness that was already taken from the system may be lost, so
+    /// every connection and the listener are treated as ready.
     ///
     /// # Errors
     ///
-    /// [`ServeError::EventLoop`] if it fails again and again.
+    /// Returns [`ServeError::EventLoop`] after more than [`MAX_WAIT_FAILURES`] successive failures.
     pub(super) fn recover_from_failed_wait(&mut self, error: calloop::Error) -> Result<(), ServeError> {
         self.wait_failures += 1;
         if self.wait_failures > MAX_WAIT_FAILURES {
             return Err(ServeError::EventLoop(error));
         }
         if self.wait_failures == 1 {
-            tracing::warn!(%error, "waiting for events failed; every connection is looked at");
+            tracing::warn!(%error, "waiting for events failed; polling all connections");
         }
         std::thread::sleep(WAIT_FAILURE_PAUSE);
         let readiness = Readiness { readable: true, writable: true, error: false };
@@ -94,18 +94,18 @@
         Ok(())
     }
 
-    /// The connection with this id, if it is open.
+    /// Returns the connection with this id; `None` if it is not open.
     pub(super) fn socket(&self, connection: ConnectionId) -> Option<&Socket> {
         self.sockets.get(connection.0)?.as_ref()
     }
 
-    /// The connection with this id, if it is open.
+    /// Returns the connection with this id for modification; `None` if it is not open.
     pub(super) fn socket_mut(&mut self, connection: ConnectionId) -> Option<&mut Socket> {
         self.sockets.get_mut(connection.0)?.as_mut()
     }
 }
 
-/// Prints to standard error. A failure is ignored: the reader may be gone.
+/// Prints to standard error. Errors are ignored, because the reader may have closed the pipe.
 pub(super) fn print_to_stderr(lines: &str) {
     let _ = std::io::stderr().write_all(lines.as_bytes());
 }
--- a/crates/query-router/src/event_loop/signals.rs
+++ b/crates/query-router/src/event_loop/signals.rs
@@ -1,11 +1,11 @@
 //! The signals that the router handles.
 
 use super::error::ServeError;
-use super::system_error::{cause_of, retry_at_start};
+use super::system_error::{io_error_of, retry_at_start};
 use calloop::signals::{Signal, Signals};
 use calloop::{EventSource, LoopHandle, Poll, PostAction, Readiness, Token, TokenFactory};
 
-/// What a signal asks the router to do.
+/// The action that a signal requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalRequest {
     /// SIGUSR1: print the counters.
@@ -26,24 +26,25 @@
     }
 }
 
-/// The blocked signals of the router, which [`serve`](super::serve) reads. Signals that arrive before are
-/// kept.
+/// The signals of the router as an event source. They are blocked, so they stay pending until [`serve`](super::serve)
+/// reads them.
 pub struct SignalSource(Signals);
 
-/// Blocks the signals that the router handles, so that they are kept until [`serve`](super::serve) reads
-/// them. Call it before anything else. Guards against a signal that arrives while the configuration is read
-/// ending the process by the system's default action.
+/// Blocks the signals that the router handles, so that they stay pending until [`serve`](super::serve) reads them. Must
+/// be called first in the process: a signal that arrives earlier, for example while the configuration is read, ends the
+/// process by its default action.
 ///
 /// # Errors
 ///
-/// [`ServeError::Signals`] if the system does not allow it.
+/// Returns [`ServeError::Signals`] if the system call fails.
 pub fn install_signal_handlers() -> Result<SignalSource, ServeError> {
     let signals = || Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1]);
-    retry_at_start(signals, cause_of).map(SignalSource).map_err(ServeError::Signals)
+    retry_at_start(signals, io_error_of).map(SignalSource).map_err(ServeError::Signals)
 }
 
 impl SignalSource {
-    /// Has the event loop call `on_request` for each signal. Takes the source only if that succeeds.
+    /// Registers the source with the event loop, which calls `on_request` for each signal. Leaves `source` in place if
+    /// the registration fails.
     pub(super) fn register<D: 'static>(
         source: &mut Option<SignalSource>, handle: &LoopHandle<'static, D>,
         on_request: impl Fn(SignalRequest, &mut D) + 'static,
@@ -58,8 +59,8 @@
     }
 }
 
-/// Reads signals. Guards against a read that fails for a moment, which the event loop would pass on as a failure of
-/// itself, and with it lose what it had to report of connections: the signal is read in the next iteration.
+/// Reads signals and delays a failed read to the next iteration. If the error were returned, the event loop would fail
+/// as a whole and lose the readiness of connections that it has not reported yet.
 impl EventSource for SignalSource {
     type Event = <Signals as EventSource>::Event;
     type Metadata = ();
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -1,6 +1,7 @@
-//! One non-blocking connection with its buffers. It returns the outcome of each system call and decides nothing.
+//! A non-blocking connection with its input and output buffers. Every operation returns the outcome of its system call;
+//! the caller handles it.
 
-use super::system_error::{self, ErrorKind, MAX_IMMEDIATE_RETRIES};
+use super::system_error::{self, ErrorClass, MAX_IMMEDIATE_ATTEMPTS};
 use crate::io::Bytes;
 use crate::protocol::http::MAX_REQUEST_BYTES;
 use calloop::RegistrationToken;
@@ -11,30 +12,30 @@
 use std::net::{Shutdown, SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// The capacity in bytes above which an empty input buffer is freed.
+/// Capacity in bytes above which an empty input buffer is deallocated.
 const MAX_IDLE_INPUT_CAPACITY: usize = 4096;
-/// How many pieces go out in one gathered write.
-const MAX_PIECES_PER_WRITE: usize = 64;
+/// Maximum number of buffers per vectored write.
+const MAX_BUFFERS_PER_WRITE: usize = 64;
 
-/// How far a connection is established.
+/// Whether a connection is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectState {
-    /// The connection is being established.
+    /// The TCP handshake is in progress.
     Connecting,
-    /// Bytes may be read and written.
+    /// The connection is established: it can be read and written.
     Connected,
 }
 
-/// The outcome of a check whether a connection is established.
+/// The outcome of checking whether a connection is established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectProgress {
-    /// Nothing is known yet.
+    /// The TCP handshake is still in progress.
     Pending,
-    /// This machine could not tell: look again a little later.
+    /// The check itself failed with a transient error and is to be repeated later.
     Unknown,
     /// The connection is established.
     Connected,
-    /// The connection failed.
+    /// The connection could not be established.
     Failed,
 }
 
@@ -43,17 +44,17 @@
 pub(super) enum ReadOutcome {
     /// Bytes were added to the input buffer.
     Received,
-    /// The peer closed its side in order.
+    /// The peer closed its write half.
     EndOfStream,
-    /// Nothing more was received.
+    /// No bytes are available at present.
     WouldBlock,
     /// The input buffer is full; nothing was read.
     BufferFull,
-    /// A signal interrupted the read; it may be repeated at once.
+    /// A signal interrupted the read, which may be repeated immediately.
     Interrupted,
-    /// This machine lacked something; the read may be repeated a little later.
+    /// A local shortage prevented the read, which may be repeated after a pause.
     LocalShortage,
-    /// The connection is broken.
+    /// The connection failed.
     Failed,
 }
 
@@ -62,26 +63,26 @@
 pub(super) enum WriteOutcome {
     /// Nothing was queued.
     NothingQueued,
-    /// All that was queued is written.
+    /// All queued output was written.
     Flushed,
-    /// The socket takes no more at present.
+    /// The send buffer of the socket is full.
     WouldBlock,
-    /// This machine lacked something; the write may be repeated a little later.
+    /// A local shortage prevented the write, which may be repeated after a pause.
     LocalShortage,
-    /// The connection is broken; the queued output is discarded.
+    /// The connection failed; the queued output was discarded.
     Failed,
 }
 
-/// What the system has received on a connection and the router has not read.
+/// The input in the receive buffer of the socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Unread {
-    /// Nothing was received.
+    /// The receive buffer is empty.
     Nothing,
-    /// This machine could not tell.
+    /// The check was interrupted, or failed due to a local shortage, each time it was tried.
     Unknown,
-    /// Bytes were received.
+    /// The receive buffer contains bytes.
     Bytes,
-    /// The end of the connection, in order or by an error.
+    /// The peer closed the connection, or the connection failed.
     End,
 }
 
@@ -90,16 +91,17 @@
     stream: Rc<TcpStream>,
     token: RegistrationToken,
     state: ConnectState,
-    /// Whether a write failed: once nothing more can be read, the connection has ended.
-    broken: bool,
-    /// Whether the last read stopped because the input buffer was full.
+    /// Whether a write failed. The connection is then treated as failed once all received bytes are read.
+    write_failed: bool,
+    /// Whether the last read was skipped because the input buffer was full.
     input_full: bool,
-    /// The bytes that were received and not consumed.
+    /// Received bytes that are not consumed yet.
     input: Vec<u8>,
-    /// The pieces to be written, in order.
+    /// Buffers to write, in order.
     output: VecDeque<Bytes>,
-    /// How many bytes of the first output piece are written.
-    piece_offset: usize,
+    /// Number of bytes of the first output buffer that are already written.
+    front_offset: usize,
+    /// Total number of bytes written.
     written_bytes: u64,
 }
 
@@ -110,41 +112,41 @@
             stream,
             token,
             state,
-            broken: false,
+            write_failed: false,
             input_full: false,
             input: Vec::new(),
             output: VecDeque::new(),
-            piece_offset: 0,
+            front_offset: 0,
             written_bytes: 0,
         }
     }
 
-    /// The registration with the event loop.
+    /// Returns the registration with the event loop.
     pub(super) fn token(&self) -> RegistrationToken {
         self.token
     }
 
-    /// Whether the connection is established.
+    /// Returns whether the connection is known to be established; accepted connections are from the start.
     pub(super) fn is_connected(&self) -> bool {
         self.state == ConnectState::Connected
     }
 
-    /// Whether the last read stopped because the input buffer was full.
+    /// Returns whether the last read was skipped because the input buffer was full.
     pub(super) fn is_input_full(&self) -> bool {
         self.input_full
     }
 
-    /// The bytes that were received and not consumed.
+    /// Returns the received bytes that are not consumed yet.
     pub(super) fn input(&self) -> &[u8] {
         &self.input
     }
 
-    /// How many bytes were written in all.
+    /// Returns the total number of bytes written.
     pub(super) fn written_bytes(&self) -> u64 {
         self.written_bytes
     }
 
-    /// Asks the system whether the connection was established, and remembers it if so.
+    /// Checks whether the connection is established and updates its state.
     pub(super) fn finish_connecting(&mut self) -> ConnectProgress {
         match self.stream.take_error() {
             Ok(None) => {}
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Reads once through `buffer` into the input buffer, unless that is full.
+    /// Reads once into the input buffer, unless it is full. `buffer` is scratch space.
     pub(super) fn read(&mut self, buffer: &mut [u8]) -> ReadOutcome {
         self.input_full = self.input.len() >= MAX_REQUEST_BYTES;
         if self.input_full {
@@ -173,17 +175,17 @@
                 self.input.extend_from_slice(&buffer[..count]);
                 ReadOutcome::Received
             }
-            Err(error) => match system_error::kind_of(&error) {
-                ErrorKind::WouldBlock if self.broken => ReadOutcome::Failed,
-                ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
-                ErrorKind::Interrupted => ReadOutcome::Interrupted,
-                ErrorKind::LocalShortage => ReadOutcome::LocalShortage,
-                ErrorKind::Failed => ReadOutcome::Failed,
+            Err(error) => match system_error::classify(&error) {
+                ErrorClass::WouldBlock if self.write_failed => ReadOutcome::Failed,
+                ErrorClass::WouldBlock => ReadOutcome::WouldBlock,
+                ErrorClass::Interrupted => ReadOutcome::Interrupted,
+                ErrorClass::LocalShortage => ReadOutcome::LocalShortage,
+                ErrorClass::Failed => ReadOutcome::Failed,
             },
         }
     }
 
-    /// Removes the first `count` bytes of the input.
+    /// Removes the first `count` bytes from the input buffer.
     pub(super) fn consume_input(&mut self, count: usize) {
         self.input.drain(..count);
         if self.input.is_empty() && self.input.capacity() > MAX_IDLE_INPUT_CAPACITY {
@@ -191,28 +193,28 @@
         }
     }
 
-    /// Looks at the received bytes without reading them.
+    /// Checks the receive buffer of the socket without consuming its bytes.
     pub(super) fn unread(&self) -> Unread {
-        for _ in 0..MAX_IMMEDIATE_RETRIES {
+        for _ in 0..MAX_IMMEDIATE_ATTEMPTS {
             match self.stream.peek(&mut [0]) {
                 Ok(0) => return Unread::End,
                 Ok(_) => return Unread::Bytes,
-                Err(error) => match system_error::kind_of(&error) {
-                    ErrorKind::WouldBlock => return Unread::Nothing,
-                    ErrorKind::Interrupted | ErrorKind::LocalShortage => {}
-                    ErrorKind::Failed => return Unread::End,
+                Err(error) => match system_error::classify(&error) {
+                    ErrorClass::WouldBlock => return Unread::Nothing,
+                    ErrorClass::Interrupted | ErrorClass::LocalShortage => {}
+                    ErrorClass::Failed => return Unread::End,
                 },
             }
         }
         Unread::Unknown
     }
 
-    /// Adds pieces to the output.
-    pub(super) fn queue_output(&mut self, pieces: Vec<Bytes>) {
-        self.output.extend(pieces.into_iter().filter(|piece| !piece.is_empty()));
+    /// Appends buffers to the output.
+    pub(super) fn queue_output(&mut self, buffers: Vec<Bytes>) {
+        self.output.extend(buffers.into_iter().filter(|buffer| !buffer.is_empty()));
     }
 
-    /// Writes until nothing is queued or the socket takes no more.
+    /// Writes until no output is queued or the send buffer of the socket is full.
     pub(super) fn write_queued(&mut self) -> WriteOutcome {
         if self.output.is_empty() {
             return WriteOutcome::NothingQueued;
@@ -220,13 +222,13 @@
         while !self.output.is_empty() {
             match self.write_once() {
                 Ok(count) => self.discard_written(count),
-                Err(error) => match system_error::kind_of(&error) {
-                    ErrorKind::WouldBlock => return WriteOutcome::WouldBlock,
-                    ErrorKind::Interrupted => {}
-                    ErrorKind::LocalShortage => return WriteOutcome::LocalShortage,
-                    ErrorKind::Failed => {
+                Err(error) => match system_error::classify(&error) {
+                    ErrorClass::WouldBlock => return WriteOutcome::WouldBlock,
+                    ErrorClass::Interrupted => {}
+                    ErrorClass::LocalShortage => return WriteOutcome::LocalShortage,
+                    ErrorClass::Failed => {
                         self.output.clear();
-                        self.broken = true;
+                        self.write_failed = true;
                         return WriteOutcome::Failed;
                     }
                 },
@@ -235,11 +237,11 @@
         WriteOutcome::Flushed
     }
 
-    /// Writes the first pieces of the output in one system call. Returns how many bytes were written.
+    /// Writes the first buffers of the output in one system call. Returns the number of bytes written.
     fn write_once(&self) -> std::io::Result<usize> {
-        let pieces = self.output.iter().take(MAX_PIECES_PER_WRITE).enumerate();
-        let unwritten =
-            pieces.map(|(index, piece)| if index == 0 { &piece[self.piece_offset..] } else { &piece[..] });
+        let buffers = self.output.iter().take(MAX_BUFFERS_PER_WRITE).enumerate();
+        let unwritten = buffers
+            .map(|(index, buffer)| if index == 0 { &buffer[self.front_offset..] } else { &buffer[..] });
         let slices: Vec<IoSlice> = unwritten.map(IoSlice::new).collect();
         (&*self.stream).write_vectored(&slices)
     }
@@ -247,43 +249,44 @@
     /// Removes `count` written bytes from the front of the output.
     fn discard_written(&mut self, mut count: usize) {
         self.written_bytes += count as u64;
-        while let Some(piece) = self.output.front() {
-            let unwritten = piece.len() - self.piece_offset;
+        while let Some(buffer) = self.output.front() {
+            let unwritten = buffer.len() - self.front_offset;
             if count < unwritten {
-                self.piece_offset += count;
+                self.front_offset += count;
                 return;
             }
             count -= unwritten;
-            self.piece_offset = 0;
+            self.front_offset = 0;
             self.output.pop_front();
         }
     }
 
-    /// Closes the writing side; the peer may still send.
+    /// Shuts down the write half; the peer may still send.
     pub(super) fn shut_down_writing(&self) {
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// The address of the peer, for tests.
+    /// Returns the address of the peer; `None` if the connection is not established.
     #[cfg(test)]
     pub(super) fn peer_address(&self) -> Option<SocketAddr> {
         self.stream.peer_addr().ok()
     }
 }
 
-/// Begins to connect to `address`; the stream becomes writable once it is connected or has failed.
+/// Starts connecting to `address`. The stream becomes writable once the connection is established or has failed.
 ///
 /// # Errors
 ///
-/// The system's error if connecting fails at once.
+/// Returns the I/O error if connecting fails immediately.
 pub(super) fn start_connecting(address: SocketAddr) -> std::io::Result<TcpStream> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let stream = TcpStream::from(net::socket_with(family, SocketType::STREAM, flags, None)?);
     stream.set_nodelay(true)?;
-    for _ in 0..MAX_IMMEDIATE_RETRIES {
+    for _ in 0..MAX_IMMEDIATE_ATTEMPTS {
         match net::connect(&stream, &address) {
-            // Interrupted, the system may go on connecting: then the next call says so.
+            // The system may continue to connect after an interruption; the next call then returns `ALREADY` or
+            // `ISCONN`.
             Err(Errno::INTR) => {}
             Ok(()) | Err(Errno::INPROGRESS | Errno::ALREADY | Errno::ISCONN) => return Ok(stream),
             Err(error) => return Err(error.into()),
--- a/crates/query-router/src/event_loop/system_error.rs
+++ b/crates/query-router/src/event_loop/system_error.rs
@@ -1,37 +1,39 @@
-//! What an error of a system call says: whether the call may be repeated, and whether the peer has anything to do with it.
+//! Classification of errors of system calls: whether the call may be repeated, and whether the cause is a shortage on
+//! this machine or a failure of the connection.
 
 use balancer::Micros;
 use rustix::io::Errno;
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How long to wait before a call is repeated for which this machine lacked something.
+/// Pause before a call is repeated that failed due to a local shortage.
 pub(super) const RETRY_PAUSE: Micros = 10_000;
-/// How often a call is repeated at once before it waits for [`RETRY_PAUSE`].
-pub(super) const MAX_IMMEDIATE_RETRIES: usize = 8;
-/// How long calls that are needed for the start are repeated. The platform waits for 30 s.
+/// Maximum number of attempts at a call without a pause between them.
+pub(super) const MAX_IMMEDIATE_ATTEMPTS: usize = 8;
+/// Time during which calls that are required for the start are retried. The platform waits 30 s for the router to
+/// start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// The pause between two attempts to start.
+/// Pause between two attempts at a call that is required for the start.
 const START_PAUSE: Duration = Duration::from_millis(20);
 
-/// What an error of a system call says.
+/// The class of an error of a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ErrorKind {
-    /// A signal interrupted it: it may be repeated at once.
+pub(super) enum ErrorClass {
+    /// A signal interrupted the call, which may be repeated immediately.
     Interrupted,
-    /// There is nothing to do at present.
+    /// The call would block; it may be repeated once the socket is ready.
     WouldBlock,
-    /// This machine lacks something for a moment: memory, a descriptor, a port, a route.
+    /// This machine temporarily lacks a resource, such as memory, a file descriptor, a port or a route.
     LocalShortage,
-    /// The connection, or what the call was for, is broken.
+    /// The connection or other object of the call failed; a repetition would fail as well.
     Failed,
 }
 
-/// What this error says.
-pub(super) fn kind_of(error: &io::Error) -> ErrorKind {
+/// Classifies an I/O error by its error number.
+pub(super) fn classify(error: &io::Error) -> ErrorClass {
     match Errno::from_io_error(error) {
-        Some(Errno::INTR) => ErrorKind::Interrupted,
-        Some(Errno::AGAIN) => ErrorKind::WouldBlock,
+        Some(Errno::INTR) => ErrorClass::Interrupted,
+        Some(Errno::AGAIN) => ErrorClass::WouldBlock,
         Some(
             Errno::NOBUFS
             | Errno::NOMEM
@@ -42,32 +44,32 @@
             | Errno::ADDRINUSE
             | Errno::NETUNREACH
             | Errno::NETDOWN,
-        ) => ErrorKind::LocalShortage,
-        _ => ErrorKind::Failed,
+        ) => ErrorClass::LocalShortage,
+        _ => ErrorClass::Failed,
     }
 }
 
-/// Whether the same call may succeed a little later.
+/// Returns whether the same call may succeed later.
 pub(super) fn is_transient(error: &io::Error) -> bool {
-    kind_of(error) != ErrorKind::Failed
+    classify(error) != ErrorClass::Failed
 }
 
-/// Repeats a call that is needed for the start for as long as it fails for want of something on this machine, 20 s at
-/// most. `cause` is the system's error behind an error.
+/// Repeats a call that is required for the start while it fails with a transient error, for at most 20 s. `io_error`
+/// returns the I/O error that caused an error of the call, if there is one.
 ///
 /// # Errors
 ///
-/// The last error of the call.
+/// Returns the last error of the call.
 pub fn retry_at_start<T, E: std::fmt::Display>(
-    mut call: impl FnMut() -> Result<T, E>, cause: impl Fn(&E) -> Option<&io::Error>,
+    mut call: impl FnMut() -> Result<T, E>, io_error: impl Fn(&E) -> Option<&io::Error>,
 ) -> Result<T, E> {
     let started = Instant::now();
     let mut is_logged = false;
     loop {
         match call() {
-            Err(error) if cause(&error).is_some_and(is_transient) && started.elapsed() < START_TIMEOUT => {
+            Err(error) if io_error(&error).is_some_and(is_transient) && started.elapsed() < START_TIMEOUT => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    tracing::warn!(%error, "start delayed; retrying");
+                    tracing::warn!(%error, "start delayed by a transient error; retrying");
                 }
                 std::thread::sleep(START_PAUSE);
             }
@@ -76,8 +78,8 @@
     }
 }
 
-/// The system's error behind an error of the event loop.
-pub(super) fn cause_of(error: &calloop::Error) -> Option<&io::Error> {
+/// Returns the I/O error that caused an error of the event loop, if there is one.
+pub(super) fn io_error_of(error: &calloop::Error) -> Option<&io::Error> {
     match error {
         calloop::Error::IoError(error) => Some(error),
         _ => None,
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -1,5 +1,5 @@
-//! The event loop on real connections. The tests run its iterations one by one, so that an event between two
-//! steps comes there each time.
+//! Tests of the event loop with real connections. They run its iterations one by one, so that an event can be placed
+//! deterministically between two steps.
 
 use super::socket::{Socket, Unread};
 use super::*;
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a test waits for something before it fails.
+/// Maximum time that a test waits for a condition before it fails.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
 struct TestRouter {
@@ -20,7 +20,7 @@
 }
 
 impl TestRouter {
-    /// A router that knows one node, with a discovery that never answers.
+    /// Starts a router whose cached endpoint list contains one node and whose discovery service never responds.
     fn new() -> TestRouter {
         let listener = || TcpListener::bind("127.0.0.1:0").expect("a port");
         let (node, discovery) = (listener(), listener());
@@ -44,7 +44,7 @@
         TestRouter { event_loop, server, address, node, _discovery: discovery }
     }
 
-    /// Runs iterations until a condition holds.
+    /// Runs iterations until `condition` holds. Panics with `failure` after [`MAX_WAIT`].
     fn run_until(&mut self, failure: &str, condition: impl Fn(&TestRouter) -> bool) {
         let started = Instant::now();
         while !condition(self) {
@@ -58,11 +58,11 @@
         TcpStream::connect(self.address).expect("a connection")
     }
 
-    /// The next connection to the node, while the router goes on.
+    /// Accepts the next connection to the node, while iterations of the router run.
     fn accept_at_node(&mut self) -> TcpStream {
         self.node.set_nonblocking(true).expect("a mode");
         let accepted = std::cell::RefCell::new(None);
-        self.run_until("nobody connects to the node", |router| {
+        self.run_until("the router does not connect to the node", |router| {
             *accepted.borrow_mut() = router.node.accept().ok();
             accepted.borrow().is_some()
         });
@@ -72,9 +72,9 @@
         stream
     }
 
-    /// Reads the payload of a frame that the router has written or will write.
+    /// Runs iterations until the router has written a frame, and returns the payload of the frame.
     fn read_frame(&mut self, stream: &mut TcpStream) -> String {
-        self.run_until("no frame comes", |_| has_unread(stream));
+        self.run_until("the router sends no frame", |_| has_unread(stream));
         let mut head = [0; 5];
         stream.read_exact(&mut head).expect("a head");
         let mut payload = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 1];
@@ -82,9 +82,9 @@
         String::from_utf8(payload).expect("text")
     }
 
-    /// Reads the next response and returns its status line.
+    /// Runs iterations until the router has written a response, and returns the status line of the response.
     fn read_response(&mut self, client: &mut TcpStream) -> String {
-        self.run_until("no response comes", |_| has_unread(client));
+        self.run_until("the router sends no response", |_| has_unread(client));
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
@@ -98,7 +98,7 @@
         head.lines().next().unwrap_or_default().to_string()
     }
 
-    /// The router's id of its connection with this peer.
+    /// Returns the id of the router's connection with this peer.
     fn connection_to(&self, peer: SocketAddr) -> ConnectionId {
         let has_peer = |socket: &Option<Socket>| {
             socket.as_ref().is_some_and(|socket| socket.peer_address() == Some(peer))
@@ -111,7 +111,7 @@
     }
 }
 
-/// Whether bytes or the end have come in that were not read.
+/// Returns whether a stream has unread bytes or an unread end of stream.
 fn has_unread(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).expect("a mode");
     let unread = stream.peek(&mut [0]).is_ok();
@@ -132,11 +132,11 @@
 }
 
 #[test]
-fn client_that_connects_while_the_exit_is_decided_is_answered() {
+fn client_that_connects_during_the_last_iteration_before_the_exit_is_answered() {
     let mut router = TestRouter::new();
     router.server.report_event(Event::Terminate);
-    // Runs up to the iteration in which idle connections are closed: there is no client, so the router asks
-    // to exit.
+    // Stops before the iteration in which idle connections are closed and in which, without a client, the router
+    // requests the exit.
     let is_due =
         |router: &TestRouter| router.server.wake_at.is_some_and(|at| at <= router.server.clock.now());
     while !is_due(&router) {
@@ -153,12 +153,13 @@
     assert!(router.server.exit != ExitState::Done, "exiting would reset a client that is connected");
     assert_eq!(router.read_response(&mut client), "HTTP/1.1 503 Service Unavailable");
     drop(client);
-    router.run_until("it never exits", |router| router.server.exit == ExitState::Done);
+    router.run_until("the router does not exit", |router| router.server.exit == ExitState::Done);
 }
 
 #[test]
-fn batch_is_not_sent_after_a_node_announced_that_it_closes() {
-    // What has come when the loop last looked is read first; this comes after that look.
+fn batch_is_not_sent_on_a_connection_that_the_node_is_about_to_close() {
+    // The bytes of the node arrive after the loop has last polled the connection, so they are unread when the batch is
+    // about to be written.
     let half_frame = frame(b'Y', "t1.0 OK 5 -\ntwice")[..9].to_vec();
     for last_bytes in [frame(b'N', "that was none"), half_frame] {
         let mut router = TestRouter::new();
@@ -182,7 +183,7 @@
         second.write_all(&frame(b'Y', "t2.0 OK 5 -\ntwo")).expect("it is read");
         assert_eq!(router.read_response(&mut client), "HTTP/1.1 200 OK");
         let mut rest = Vec::new();
-        // The router closed it with unread bytes: a reset is an end too.
+        // The router closed the connection with unread input, which may reset it; reading may thus return an error.
         let _ = first.read_to_end(&mut rest);
         assert_eq!(rest, b"");
         assert_eq!(router.server.router.counters().attempts_not_sent, 1);
--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -1,114 +1,115 @@
-//! The events that the event loop reports to the router's state machine, and the effects that the state machine
-//! requests of the event loop. Both are plain values.
+//! The interface between the event loop and the router's state machine: the event loop reports [`Event`]s, the state
+//! machine requests [`Effect`]s. Both are plain values, so that the state machine can be tested without I/O.
 
 use balancer::Micros;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The id of a connection: a small index, which the state machine assigns and may reuse once the connection is closed.
+/// Identifies a connection: a small index that the state machine assigns and may reuse once the connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub usize);
 
-/// Bytes to be written. They are shared where several connections get the same.
+/// A buffer to write, reference-counted so that several connections can share it.
 pub type Bytes = Rc<[u8]>;
 
-/// An event that the event loop reports.
+/// An event that the event loop reports to the state machine.
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// A client has connected; [`Effect::Accept`] answers it, later if the limit on descriptors is reached.
+    /// A client has connected. The state machine responds with [`Effect::Accept`], later if the limit on file
+    /// descriptors is reached.
     ClientConnected,
-    /// This machine lacks something for a connection that [`Effect::Connect`] asked for; the event loop goes on trying
+    /// A local shortage keeps the event loop from opening a connection requested by [`Effect::Connect`]; it retries
     /// until the connection is closed.
     ConnectDelayed(ConnectionId),
-    /// A connection that [`Effect::Connect`] opened is established.
+    /// A connection requested by [`Effect::Connect`] is established.
     Established(ConnectionId),
     /// Bytes were received on a connection.
     Received {
-        /// The connection.
+        /// The connection on which bytes arrived.
         connection: ConnectionId,
-        /// All bytes that were received on it and are not consumed yet.
+        /// All received bytes that are not consumed yet, those reported before included.
         bytes: &'a [u8],
     },
-    /// Everything that was to be written on a connection is written.
+    /// All bytes queued on a connection have been passed to the operating system.
     Flushed(ConnectionId),
-    /// The peer closed in order; [`Event::Ended`] follows.
+    /// The peer closed its side of a connection (end of stream); [`Event::Ended`] follows.
     PeerClosed(ConnectionId),
-    /// The peer closed, the connection broke, or it was never established.
+    /// The connection was closed, failed, or was never established.
     Ended {
-        /// The id that the connection had.
+        /// The former id of the connection.
         connection: ConnectionId,
-        /// How many bytes were written on it in all.
+        /// Total bytes written on the connection; 0 if it was never established.
         written_bytes: u64,
     },
-    /// The time of the last [`Effect::WakeAt`] is reached.
+    /// The time set by the last [`Effect::WakeAt`] is reached.
     TimerExpired,
-    /// The configuration was read again and states this address of discovery.
+    /// The configuration was reloaded; it states this discovery address, which may be unchanged.
     DiscoveryMoved(SocketAddr),
-    /// A signal asks for a graceful shutdown.
+    /// A signal requests a graceful shutdown.
     Terminate,
-    /// A signal asks for the counters.
+    /// A signal requests the counters.
     ReportCounters,
 }
 
-/// What the peer of a connection may send before anything more is written on the connection.
+/// The input that is acceptable on a connection at the time of [`Effect::WriteIfOpen`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedInput {
-    /// A response, so unread bytes mean nothing.
+    /// A response is outstanding, so unread bytes do not prevent the write.
     Response,
-    /// Nothing: unread bytes announce that the peer closes the connection.
+    /// No response is outstanding: unread bytes are a notice that the peer is about to close the connection.
     Nothing,
 }
 
-/// An effect that the event loop is to carry out.
+/// An effect that the state machine requests of the event loop.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
-    /// Give this id to the client that connected first among those without one.
+    /// Assigns this id to the longest-waiting client connection that has none, and registers it with the event loop.
     Accept(ConnectionId),
-    /// Open a connection.
+    /// Opens a connection. [`Event::Established`] or [`Event::Ended`] follows.
     Connect {
         /// The id of the new connection.
         connection: ConnectionId,
-        /// Where it leads.
+        /// The address of the peer.
         address: SocketAddr,
     },
-    /// Discard received bytes.
+    /// Discards received bytes.
     Consume {
-        /// The connection.
+        /// The connection that received the bytes.
         connection: ConnectionId,
-        /// How many bytes to discard, from the first one on.
+        /// The number of bytes to discard from the front of the input.
         count: usize,
     },
-    /// Report once more what was received and not consumed.
+    /// Reports the unconsumed bytes of a connection again with [`Event::Received`].
     Redeliver(ConnectionId),
-    /// Write.
+    /// Writes buffers on a connection. [`Event::Flushed`] follows once all are written.
     Write {
-        /// The connection.
+        /// The connection to write on.
         connection: ConnectionId,
-        /// What to write, in order.
+        /// The buffers in the order in which they are written.
         buffers: Vec<Bytes>,
     },
-    /// Write, unless the peer is known to have closed or to have sent something unexpected: then close, and
-    /// [`Event::Ended`] follows.
+    /// Writes buffers like [`Effect::Write`], unless the peer has closed the connection or sent unexpected bytes: then
+    /// the connection is closed and [`Event::Ended`] follows.
     WriteIfOpen {
-        /// The connection.
+        /// The connection to write on.
         connection: ConnectionId,
-        /// What to write, in order.
+        /// The buffers in the order in which they are written.
         buffers: Vec<Bytes>,
-        /// What the peer may have sent.
+        /// The input that does not prevent the write.
         expected: ExpectedInput,
     },
-    /// Close, unless bytes were received that are not read yet; [`Event::Ended`] follows the close.
+    /// Closes a connection unless it has unread input; [`Event::Ended`] follows if it was closed.
     CloseIfIdle(ConnectionId),
-    /// Close the writing side; the connection is still read.
+    /// Closes the write half of a connection; the read half stays open.
     CloseWrite(ConnectionId),
-    /// Close without any further event about the connection.
+    /// Closes a connection; no further events of this connection are reported.
     Close(ConnectionId),
-    /// Close; [`Event::Ended`] follows and states how much was written.
+    /// Closes a connection; [`Event::Ended`] follows with the number of bytes written.
     Abort(ConnectionId),
-    /// Report [`Event::TimerExpired`] at this time; it replaces the time of an earlier request.
+    /// Sets the time at which to report [`Event::TimerExpired`], in place of any earlier one; `None` clears the timer.
     WakeAt(Option<Micros>),
-    /// Print these lines to standard error.
+    /// Prints these lines to standard error.
     PrintCounters(String),
-    /// End the process, unless another client has connected meanwhile.
+    /// Ends the process, unless another client has connected in the meantime.
     Exit,
 }
--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -1,9 +1,9 @@
-//! The query router on sockets: [`serve`] answers queries until a signal asks for the shutdown. `docs/architecture.md`
-//! goes through it file by file; the binary `query-router` in `crates/cli` starts it.
+//! The query router as a server: [`serve`] answers queries until it receives a signal to shut down. The binary
+//! `query-router` in `crates/cli` starts it; `docs/architecture.md` describes its modules.
 //!
-//! The event loop owns everything of the operating system: sockets, signals and the clock. It reports events to the
-//! router's state machine and carries out the effects that the state machine asks for. The state machine contains the
-//! balancer, which takes every decision.
+//! The event loop owns all operating system resources: sockets, signals and the clock. It reports events to the
+//! router's state machine, which performs no I/O, and executes the effects that the state machine requests. The state
+//! machine contains the balancer, which makes all load-balancing decisions.
 
 #![warn(missing_docs)]
 
