--- a/crates/query-router/src/protocol/frames.rs
+++ b/crates/query-router/src/protocol/frames.rs
@@ -1,37 +1,37 @@
-//! Frames between the router and data nodes: a length of four bytes, a letter that tells the kind, and a
-//! payload.
+//! Frames between the router and data nodes: a length of four bytes in network byte order, a letter that identifies the
+//! kind, and a payload. The length covers the letter and the payload.
 
 #[cfg(test)]
 mod tests;
 
 use balancer::AttemptOutcome;
 
-/// The most bytes of the line in front of a value.
+/// Maximum length in bytes of the line before the value in a response.
 const MAX_LINE_BYTES: usize = 1024;
-/// The most bytes of a frame: a line and the protocol's limit on a body.
+/// Maximum value of a frame's length: a line, and a value of the maximum body size of the protocol.
 const MAX_FRAME_BYTES: usize = 64 * 1024 + MAX_LINE_BYTES;
-/// The bytes of a frame's length.
+/// Size in bytes of the length field.
 const LENGTH_BYTES: usize = 4;
 
-/// What a frame is.
+/// The kind of a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameKind {
     /// `R`, to a node: the shard requests of a batch.
     Batch,
-    /// `A`, to a node: the id of a shard request whose response is not wanted any more.
+    /// `A`, to a node: cancels the shard request with the id in the payload.
     Cancel,
-    /// `G`: a health check, and its answer.
+    /// `G`, in both directions: a health check and its response.
     Health,
-    /// `T`: a request for a load report, and its answer.
+    /// `T`, in both directions: a request for a load report and its response.
     Load,
     /// `Y`, from a node: the response to one shard request.
     Response,
-    /// `N`, from a node: it cannot parse a frame and is about to close the connection.
+    /// `N`, from a node: the node could not parse a frame and is about to close the connection.
     NotUnderstood,
 }
 
 impl FrameKind {
-    /// The letter of the kind on the wire.
+    /// Returns the letter that identifies the kind on the wire.
     pub const fn letter(self) -> u8 {
         match self {
             FrameKind::Batch => b'R',
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The kind of a frame that a node sends.
+    /// Returns the kind of a frame received from a node.
     fn from_node(letter: u8) -> Result<FrameKind, FrameError> {
         match letter {
             b'Y' => Ok(FrameKind::Response),
@@ -55,48 +55,48 @@
     }
 }
 
-/// A frame that a node sent.
+/// A frame received from a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// What the frame is.
+    /// The kind of the frame.
     pub kind: FrameKind,
-    /// What follows the letter.
+    /// The bytes after the letter.
     pub payload: &'a [u8],
-    /// How many bytes of the connection the frame takes.
+    /// The length of the encoded frame in bytes, including its length field.
     pub encoded_length: usize,
 }
 
-/// Why bytes of a node cannot be used.
+/// A frame or response received from a node is malformed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum FrameError {
-    /// The stated length in bytes is 0 or over the limit.
-    #[error("a frame states a length of {0} bytes")]
+    /// The length field is 0 or exceeds the limit.
+    #[error("frame length is {0}; expected 1 to {MAX_FRAME_BYTES} bytes")]
     InvalidLength(usize),
-    /// The letter is none that a node sends.
-    #[error("a frame is of the unknown kind {0:#04x}")]
+    /// The letter does not identify a kind of frame that nodes send.
+    #[error("unknown frame kind {0:#04x}")]
     UnknownKind(u8),
-    /// The line of a response does not end within the limit.
-    #[error("the line of a response is over {MAX_LINE_BYTES} bytes")]
+    /// The line of a response exceeds the limit.
+    #[error("line of a response exceeds {MAX_LINE_BYTES} bytes")]
     LineTooLong,
     /// A part of a response is missing or malformed.
-    #[error("the {0} of a response is missing or malformed")]
+    #[error("{0} of a response is missing or malformed")]
     InvalidResponse(ResponsePart),
 }
 
-/// The parts of a response.
+/// A part of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
-    /// The line in front of the value.
+    /// The line before the value, with the other parts.
     Line,
     /// The id of the shard request.
     Id,
-    /// The outcome of the attempt.
+    /// The status word, which states the outcome of the attempt.
     Status,
-    /// The score, a number behind the status.
+    /// The score, a number after the status.
     Score,
-    /// The load report.
+    /// The load report, which extends to the end of the line.
     LoadReport,
-    /// The value.
+    /// The value, which follows the line.
     Value,
 }
 
@@ -113,12 +113,12 @@
     }
 }
 
-/// The frame at the start of `bytes`, or `None` until it is complete.
+/// Parses the frame at the start of `bytes`. Returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// A [`FrameError`] as soon as it is known that the frame can never be used. Guards against waiting for the
-/// rest of a frame with an unknown letter or an endless line.
+/// Returns a [`FrameError`] as soon as the received bytes are known to be malformed, so that the router does not wait
+/// for the rest of a frame with an unknown letter or a line that is too long.
 pub fn parse(bytes: &[u8]) -> Result<Option<Frame<'_>>, FrameError> {
     let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
@@ -128,72 +128,74 @@
     let Some(&letter) = rest.first() else { return Ok(None) };
     let kind = FrameKind::from_node(letter)?;
     let received = &rest[..rest.len().min(length)];
-    if kind == FrameKind::Response && has_endless_line(received) {
+    if kind == FrameKind::Response && exceeds_line_limit(received) {
         return Err(FrameError::LineTooLong);
     }
     let Some(payload) = rest.get(1..length) else { return Ok(None) };
     Ok(Some(Frame { kind, payload, encoded_length: LENGTH_BYTES + length }))
 }
 
-/// Whether the line of a response is known to be over the limit.
-fn has_endless_line(received: &[u8]) -> bool {
+/// Returns whether the line of a partially received response exceeds the limit.
+fn exceeds_line_limit(received: &[u8]) -> bool {
     received.len() > MAX_LINE_BYTES && !received[..MAX_LINE_BYTES].contains(&b'\n')
 }
 
-/// The five bytes in front of a payload of `payload_length` bytes: the length and the letter.
+/// Encodes the length and the letter that precede a payload of `payload_length` bytes.
 pub fn head(letter: u8, payload_length: usize) -> [u8; 5] {
     let mut head = [letter; LENGTH_BYTES + 1];
     head[..LENGTH_BYTES].copy_from_slice(&(payload_length as u32 + 1).to_be_bytes());
     head
 }
 
-/// The line in front of a shard request's text in a batch; `remaining_ms` is the time until its deadline.
+/// Encodes the line before the text of a shard request in a batch. `remaining_ms` is the time in milliseconds until the
+/// deadline of the shard request.
 pub fn shard_request_line(id: &str, shard: usize, remaining_ms: i64, text_length: usize) -> String {
     format!("{id} {shard} d={remaining_ms} {text_length}\n")
 }
 
-/// A node's response to one shard request.
+/// The response of a node to one shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShardResponse<'a> {
     /// The id of the shard request.
     pub id: &'a str,
-    /// How the attempt ended.
+    /// The outcome of the attempt.
     pub outcome: AttemptOutcome,
-    /// The load report as sent. It is not checked here, since a response is usable without it.
+    /// The load report as received. It is not validated here, because a response is usable without it.
     pub load_report: &'a [u8],
-    /// The value, which is of use if the attempt succeeded.
+    /// The value; meaningful only if the attempt succeeded.
     pub value: &'a str,
 }
 
 impl<'a> ShardResponse<'a> {
-    /// Reads the payload of a [`FrameKind::Response`] frame.
+    /// Parses the payload of a [`FrameKind::Response`] frame.
     ///
     /// # Errors
     ///
-    /// [`FrameError::InvalidResponse`] with the part that cannot be used. No value holds control characters:
-    /// one that does has swallowed part of another frame, whose length begins with a zero.
+    /// Returns [`FrameError::InvalidResponse`] with the first malformed part. A value with control characters is
+    /// malformed: values contain none, but the length field of a frame starts with a zero byte, so such a value
+    /// includes part of the next frame because the stated length is too great.
     pub fn parse(payload: &'a [u8]) -> Result<ShardResponse<'a>, FrameError> {
         let invalid = FrameError::InvalidResponse;
         let line_end = payload.iter().position(|&byte| byte == b'\n').ok_or(invalid(ResponsePart::Line))?;
         let (line, value) = (&payload[..line_end], &payload[line_end + 1..]);
         let mut words = line.splitn(4, |&byte| byte == b' ');
-        let id = words.next().and_then(as_text).ok_or(invalid(ResponsePart::Id))?;
-        let outcome = words.next().and_then(outcome_of_status).ok_or(invalid(ResponsePart::Status))?;
-        let score: Option<f64> = words.next().and_then(as_text).and_then(|score| score.parse().ok());
+        let id = words.next().and_then(as_utf8).ok_or(invalid(ResponsePart::Id))?;
+        let outcome = words.next().and_then(parse_status).ok_or(invalid(ResponsePart::Status))?;
+        let score: Option<f64> = words.next().and_then(as_utf8).and_then(|score| score.parse().ok());
         score.ok_or(invalid(ResponsePart::Score))?;
         let load_report = words.next().ok_or(invalid(ResponsePart::LoadReport))?;
-        let value = as_text(value).filter(|value| !value.contains(char::is_control));
+        let value = as_utf8(value).filter(|value| !value.contains(char::is_control));
         let value = value.ok_or(invalid(ResponsePart::Value))?;
         Ok(ShardResponse { id, outcome, load_report, value })
     }
 }
 
-fn as_text(bytes: &[u8]) -> Option<&str> {
+fn as_utf8(bytes: &[u8]) -> Option<&str> {
     std::str::from_utf8(bytes).ok()
 }
 
-/// The outcome that a node states.
-fn outcome_of_status(status: &[u8]) -> Option<AttemptOutcome> {
+/// Returns the outcome for the status word of a response; `None` if the word is unknown.
+fn parse_status(status: &[u8]) -> Option<AttemptOutcome> {
     match status {
         b"OK" => Some(AttemptOutcome::Succeeded),
         b"ERROR" => Some(AttemptOutcome::ServerError),
--- a/crates/query-router/src/protocol/frames/tests.rs
+++ b/crates/query-router/src/protocol/frames/tests.rs
@@ -1,11 +1,11 @@
-//! Frames: what is read of their bytes, and what is rejected.
+//! Tests of parsing frames and responses.
 
 use super::*;
 
 const SUCCEEDED: AttemptOutcome = AttemptOutcome::Succeeded;
 
 #[test]
-fn frame_is_read_once_its_last_byte_is_in() {
+fn frame_is_parsed_once_its_last_byte_is_received() {
     let payload = b"t.3 OK 17 inflight=7\nvalue";
     let bytes: Vec<u8> = head(b'Y', payload.len()).into_iter().chain(*payload).chain([0, 0]).collect();
     for end in 0..4 + 1 + payload.len() {
@@ -19,29 +19,29 @@
 }
 
 #[test]
-fn frame_of_an_impossible_length_is_rejected() {
+fn frame_with_an_invalid_length_is_rejected() {
     assert_eq!(parse(&[0, 0, 0, 0, 1]), Err(FrameError::InvalidLength(0)));
     assert_eq!(parse(&[0x10, 0, 0, 0]), Err(FrameError::InvalidLength(0x1000_0000)));
 }
 
 #[test]
-fn frame_is_rejected_as_soon_as_it_is_known_to_be_of_no_use() {
+fn malformed_frame_is_rejected_before_it_is_complete() {
     assert_eq!(parse(&[0, 0, 0, 9, 1]), Err(FrameError::UnknownKind(1)));
-    let endless_line = [&[0, 1, 0, 0, b'Y'], &[b'x'; MAX_LINE_BYTES][..]].concat();
-    assert_eq!(parse(&endless_line), Err(FrameError::LineTooLong));
+    let long_line = [&[0, 1, 0, 0, b'Y'], &[b'x'; MAX_LINE_BYTES][..]].concat();
+    assert_eq!(parse(&long_line), Err(FrameError::LineTooLong));
     let short_lines = [&[0, 1, 0, 0, b'Y'], &b"x\n".repeat(MAX_LINE_BYTES)[..]].concat();
     assert_eq!(parse(&short_lines), Ok(None));
 }
 
 #[test]
-fn malformed_response_is_rejected_with_the_part_that_is_wrong() {
+fn malformed_response_is_rejected_with_its_first_malformed_part() {
     for (payload, part) in [
         (&b"t.3 OK 17 -"[..], ResponsePart::Line),
         (b"t.3 MAYBE 17 -\n", ResponsePart::Status),
         (b"t.3  17 -\n", ResponsePart::Status),
         (b"t.3 OK 17\n", ResponsePart::LoadReport),
         (b"t.3 OK x -\n", ResponsePart::Score),
-        // Noise, and a frame that a length too great has swallowed.
+        // A value that is not UTF-8, and one that includes the next frame because the stated length is too great.
         (b"t.3 OK 1 -\n\xff", ResponsePart::Value),
         (b"t.3 OK 1 -\nvalue\0\0\0\x09Yt.4 OK", ResponsePart::Value),
     ] {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn response_is_usable_whatever_its_load_report_holds() {
+fn response_with_a_malformed_load_report_is_usable() {
     for load_report in [&b"%%%"[..], b"=,=", b"nan", b"\xff\xfe", b"a=1 b=2"] {
         let payload = [b"t.3 OK 17 ", load_report, b"\nvalue"].concat();
         let response = ShardResponse { id: "t.3", outcome: SUCCEEDED, load_report, value: "value" };
--- a/crates/query-router/src/protocol/http/chunked.rs
+++ b/crates/query-router/src/protocol/http/chunked.rs
@@ -1,30 +1,30 @@
-//! Bodies in chunks.
+//! Decoder of bodies with the transfer encoding `chunked`.
 
 use super::error::HttpError;
 use super::limits::{MAX_HEAD_BYTES, MAX_HEADERS};
 use httparse::Status;
 
-/// What the decoder expects next.
+/// The element of the encoding that the decoder expects next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ChunkState {
-    /// The line with a chunk's size.
+    /// The size line of a chunk.
     Size,
-    /// Data of a chunk, of which `remaining` bytes are still to come.
+    /// Data of a chunk, of which `remaining` bytes are not received yet.
     Data { remaining: u64 },
-    /// The line end behind a chunk's data.
+    /// The line end after the data of a chunk.
     DataEnd,
 }
 
-/// How far a body was decoded.
+/// The progress of decoding a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkedProgress {
-    /// How many of the given bytes were consumed.
+    /// The number of consumed input bytes.
     pub consumed: usize,
     /// Whether the body is complete.
     pub complete: bool,
 }
 
-/// Decodes a chunked body piece by piece: data of a chunk is passed on before the chunk is complete.
+/// Decodes a chunked body incrementally: data of a chunk is passed on before the chunk is complete.
 #[derive(Debug)]
 pub struct ChunkedDecoder {
     max_chunk_bytes: usize,
@@ -33,26 +33,26 @@
 
 /// The outcome of one step of the decoder.
 enum Step {
-    /// It consumed this number of bytes and may go on.
+    /// This number of bytes was consumed; decoding may continue.
     Consumed(usize),
-    /// It needs more bytes.
+    /// The decoder needs more bytes.
     Incomplete,
-    /// It consumed this number of bytes, and the body is complete.
+    /// This number of bytes was consumed, and the body is complete.
     Complete(usize),
 }
 
 impl ChunkedDecoder {
-    /// A decoder that rejects chunks of over `max_chunk_bytes` as soon as their size is known.
+    /// Creates a decoder that rejects a chunk of more than `max_chunk_bytes` as soon as its size line is received.
     pub fn new(max_chunk_bytes: usize) -> ChunkedDecoder {
         ChunkedDecoder { max_chunk_bytes, state: ChunkState::Size }
     }
 
-    /// Decodes `bytes` as far as possible and passes the data to `on_data`. Bytes that were not consumed must
-    /// be given again, with those that follow.
+    /// Decodes `bytes` as far as possible and passes the data to `on_data`. The next call must start with the bytes
+    /// that were not consumed.
     ///
     /// # Errors
     ///
-    /// [`HttpError::MalformedChunks`] or [`HttpError::ChunkTooLong`].
+    /// Returns [`HttpError::MalformedChunks`] or [`HttpError::ChunkTooLong`].
     pub fn decode(
         &mut self, bytes: &[u8], on_data: &mut dyn FnMut(&[u8]),
     ) -> Result<ChunkedProgress, HttpError> {
@@ -74,23 +74,23 @@
         }
     }
 
-    /// Decodes the line with a chunk's size, and behind the last one the trailer.
+    /// Decodes the size line of a chunk; if it is the last chunk, also the trailer.
     fn decode_size(&mut self, bytes: &[u8]) -> Result<Step, HttpError> {
         match httparse::parse_chunk_size(bytes) {
-            Ok(Status::Complete((line, 0))) => decode_trailer(bytes, line),
+            Ok(Status::Complete((line_length, 0))) => decode_trailer(bytes, line_length),
             Ok(Status::Complete((_, size))) if size > self.max_chunk_bytes as u64 => {
                 Err(HttpError::ChunkTooLong)
             }
-            Ok(Status::Complete((line, size))) => {
+            Ok(Status::Complete((line_length, size))) => {
                 self.state = ChunkState::Data { remaining: size };
-                Ok(Step::Consumed(line))
+                Ok(Step::Consumed(line_length))
             }
             Ok(Status::Partial) if bytes.len() < MAX_HEAD_BYTES => Ok(Step::Incomplete),
             _ => Err(HttpError::MalformedChunks),
         }
     }
 
-    /// Passes on the received part of a chunk's data.
+    /// Passes the received part of the data of a chunk to `on_data`.
     fn decode_data(&mut self, bytes: &[u8], remaining: u64, on_data: &mut dyn FnMut(&[u8])) -> Step {
         if remaining == 0 {
             self.state = ChunkState::DataEnd;
@@ -105,7 +105,7 @@
         Step::Consumed(data.len())
     }
 
-    /// Decodes the line end behind a chunk's data.
+    /// Decodes the line end after the data of a chunk.
     fn decode_data_end(&mut self, bytes: &[u8]) -> Result<Step, HttpError> {
         match bytes.get(..2) {
             None => Ok(Step::Incomplete),
@@ -118,11 +118,12 @@
     }
 }
 
-/// Reads the trailer behind the last chunk's size line, which takes `line` bytes. Its fields are ignored.
-fn decode_trailer(bytes: &[u8], line: usize) -> Result<Step, HttpError> {
+/// Decodes the trailer after the size line of the last chunk, which is `line_length` bytes long. The trailer fields are
+/// ignored.
+fn decode_trailer(bytes: &[u8], line_length: usize) -> Result<Step, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
-    match httparse::parse_headers(&bytes[line..], &mut headers) {
-        Ok(Status::Complete((trailer, _))) => Ok(Step::Complete(line + trailer)),
+    match httparse::parse_headers(&bytes[line_length..], &mut headers) {
+        Ok(Status::Complete((trailer_length, _))) => Ok(Step::Complete(line_length + trailer_length)),
         Ok(Status::Partial) if bytes.len() < MAX_HEAD_BYTES => Ok(Step::Incomplete),
         _ => Err(HttpError::MalformedChunks),
     }
--- a/crates/query-router/src/protocol/http/error.rs
+++ b/crates/query-router/src/protocol/http/error.rs
@@ -1,36 +1,36 @@
-//! What can be wrong with an HTTP message.
+//! Errors of HTTP messages.
 
-/// Why an HTTP message cannot be used. Its text is the body of the response that the client gets.
+/// An HTTP message is malformed, unsupported or too large. The error text is the body of the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The start line or a header field does not follow the syntax.
+    /// The start line or a header field is malformed.
     #[error("the head is malformed")]
     MalformedHead,
-    /// The head is over [`MAX_HEAD_BYTES`](super::limits::MAX_HEAD_BYTES) or has too many fields.
+    /// The head exceeds [`MAX_HEAD_BYTES`](super::limits::MAX_HEAD_BYTES) or has too many fields.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// `Content-Length` is not a number of bytes.
+    /// `Content-Length` is not a non-negative integer.
     #[error("Content-Length is not a whole number")]
     InvalidContentLength,
     /// `Transfer-Encoding` is not `chunked`.
     #[error("only the transfer encoding 'chunked' is known")]
     UnsupportedTransferEncoding,
-    /// More than one field states how the body ends.
+    /// More than one field states the framing of the body.
     #[error("the body's length is stated twice")]
     ConflictingBodyLength,
-    /// A chunk's size line, its end or the trailer does not follow the syntax.
+    /// The size line or the end of a chunk, or the trailer, is malformed.
     #[error("the body's chunks are malformed")]
     MalformedChunks,
-    /// A chunk states more bytes than are allowed.
+    /// A chunk size exceeds the limit of the decoder.
     #[error("a chunk is too long")]
     ChunkTooLong,
-    /// The body is over [`MAX_BODY_BYTES`](super::limits::MAX_BODY_BYTES).
+    /// The body exceeds [`MAX_BODY_BYTES`](super::limits::MAX_BODY_BYTES).
     #[error("the body is over 64 KiB")]
     BodyTooLarge,
 }
 
 impl HttpError {
-    /// The status code of the response to a client.
+    /// Returns the status code of the response to the client.
     pub fn status(self) -> u16 {
         match self {
             HttpError::MalformedHead
--- a/crates/query-router/src/protocol/http/framing.rs
+++ b/crates/query-router/src/protocol/http/framing.rs
@@ -1,31 +1,31 @@
-//! How the end of a message's body is known.
+//! Message framing: how the length of a body is determined.
 
 use super::error::HttpError;
 
-/// How the end of a body is known.
+/// The framing of a body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFraming {
-    /// The head states its length in bytes.
+    /// `Content-Length` states the length of the body in bytes.
     Length(usize),
-    /// It comes in chunks, of which the last is empty.
+    /// The body has the transfer encoding `chunked`.
     Chunked,
-    /// It ends with the connection.
+    /// The body extends to the end of the connection.
     UntilClose,
 }
 
 impl BodyFraming {
-    /// The framing that these header fields state, or `default` if they state none.
+    /// Returns the framing that the header fields state, or `default` if they state none.
     ///
     /// # Errors
     ///
-    /// An [`HttpError`] if a field is malformed, unsupported, or states the framing a second time.
+    /// Returns an [`HttpError`] if a field is malformed or unsupported, or if several fields state the framing.
     pub(super) fn from_headers(
         headers: &[httparse::Header], default: BodyFraming,
     ) -> Result<BodyFraming, HttpError> {
         let mut stated = None;
         for header in headers {
             let framing = if header.name.eq_ignore_ascii_case("content-length") {
-                BodyFraming::Length(content_length(header.value)?)
+                BodyFraming::Length(parse_content_length(header.value)?)
             } else if header.name.eq_ignore_ascii_case("transfer-encoding") {
                 if !header.value.eq_ignore_ascii_case(b"chunked") {
                     return Err(HttpError::UnsupportedTransferEncoding);
@@ -43,8 +43,8 @@
     }
 }
 
-/// The number in a `Content-Length` field; one that does not fit counts as the largest.
-fn content_length(value: &[u8]) -> Result<usize, HttpError> {
+/// Parses the value of a `Content-Length` field. A number too large for `usize` becomes `usize::MAX`.
+fn parse_content_length(value: &[u8]) -> Result<usize, HttpError> {
     let text = std::str::from_utf8(value).unwrap_or("").trim();
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(HttpError::InvalidContentLength);
--- a/crates/query-router/src/protocol/http/limits.rs
+++ b/crates/query-router/src/protocol/http/limits.rs
@@ -1,10 +1,10 @@
-//! Limits on the sizes of HTTP messages.
+//! Size limits of HTTP messages.
 
-/// The protocol's limit on a body, in bytes.
+/// Maximum size of a request body in bytes, as defined by the protocol.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// The router's limit on a head, in bytes.
+/// Maximum size of a message head in bytes, chosen by the router.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// The most bytes that a request may take, with its body in small chunks.
+/// Maximum size of an encoded request in bytes; leaves room for the framing of a body in small chunks.
 pub const MAX_REQUEST_BYTES: usize = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES;
-/// The most header fields of a head, and of a chunked body's trailer.
+/// Maximum number of header fields in a head, and of trailer fields after a chunked body.
 pub(super) const MAX_HEADERS: usize = 64;
--- a/crates/query-router/src/protocol/http/mod.rs
+++ b/crates/query-router/src/protocol/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 as the router speaks it: requests of clients, responses of discovery, and the heads of its own
+//! The HTTP/1.1 messages of the router: requests of clients, responses of discovery, and the heads of the router's own
 //! responses.
 
 mod chunked;
--- a/crates/query-router/src/protocol/http/request.rs
+++ b/crates/query-router/src/protocol/http/request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients, parsed from the bytes of a connection.
+//! Parser of the requests of clients.
 
 use super::chunked::ChunkedDecoder;
 use super::error::HttpError;
@@ -8,32 +8,33 @@
 use httparse::Status;
 use std::borrow::Cow;
 
-/// A complete request. Header fields that were not sent are empty.
+/// A complete request. A header field that is absent or not UTF-8 is an empty string.
 #[derive(Debug, Default)]
 pub struct Request<'a> {
     /// The method, such as `GET`.
     pub method: &'a str,
     /// The path with its query string.
     pub path: &'a str,
-    /// The body, without the framing of chunks.
+    /// The decoded body.
     pub body: Cow<'a, [u8]>,
-    /// `X-Trace-Id`.
+    /// `X-Trace-Id`: the id of the query.
     pub trace_id: &'a str,
     /// `X-Qos`: the name of the service class.
     pub service_class: &'a str,
     /// `X-Customer`: the name of the tenant.
     pub tenant: &'a str,
-    /// `X-Expires-In-Ms`: the time in milliseconds after which an answer is of no use.
+    /// `X-Expires-In-Ms`: the deadline of the query, in milliseconds from its arrival.
     pub expires_in_ms: &'a str,
-    /// `X-Second-Try`: the client sends the query again after an earlier answer.
+    /// `X-Second-Try`: whether the client retries a query that was answered before.
     pub is_retry: bool,
-    /// The client will not use the connection again.
+    /// Whether the connection is to be closed after the response.
     pub closes_connection: bool,
-    /// How many bytes of the connection the request takes.
+    /// The length of the encoded request in bytes.
     pub encoded_length: usize,
 }
 
-/// Whether these bytes are exactly a head whose sender waits for `100 Continue` before it sends the body.
+/// Returns whether `bytes` are exactly a head with `Expect: 100-continue`, whose client waits for `100 Continue` before
+/// sending the body.
 pub fn expects_continue(bytes: &[u8]) -> bool {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -45,11 +46,11 @@
     }
 }
 
-/// The request at the start of `bytes`, or `None` until it is complete.
+/// Parses the request at the start of `bytes`. Returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// An [`HttpError`] if the request is malformed or beyond a limit.
+/// Returns an [`HttpError`] if the request is malformed, unsupported or exceeds a limit.
 pub fn parse_request(bytes: &[u8]) -> Result<Option<Request<'_>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
@@ -69,12 +70,12 @@
     }
 }
 
-/// The request without its body.
+/// Returns the request without its body.
 fn request_from_head<'a>(head: &httparse::Request<'_, 'a>) -> Request<'a> {
     let mut request = Request {
         method: head.method.unwrap_or(""),
         path: head.path.unwrap_or(""),
-        // HTTP/1.0 closes unless asked to keep the connection.
+        // An HTTP/1.0 connection is closed unless the client requests keep-alive.
         closes_connection: head.version == Some(0),
         ..Default::default()
     };
@@ -96,7 +97,7 @@
     request
 }
 
-/// Adds a body of a stated length, or returns `None` until it is complete.
+/// Adds a body of the length in `Content-Length`. Returns `None` if it is incomplete.
 fn with_plain_body<'a>(
     request: Request<'a>, bytes: &'a [u8], body_start: usize, length: usize,
 ) -> Option<Request<'a>> {
@@ -105,7 +106,7 @@
     Some(Request { body: Cow::Borrowed(body), encoded_length: body_end, ..request })
 }
 
-/// Adds a body in chunks, or returns `None` until it is complete.
+/// Adds a chunked body. Returns `None` if it is incomplete.
 fn with_chunked_body<'a>(
     request: Request<'a>, bytes: &[u8], body_start: usize,
 ) -> Result<Option<Request<'a>>, HttpError> {
--- a/crates/query-router/src/protocol/http/response.rs
+++ b/crates/query-router/src/protocol/http/response.rs
@@ -1,4 +1,4 @@
-//! Heads of responses: those of discovery are parsed, the router's own are encoded.
+//! Heads of responses: those of discovery are parsed, those of the router are encoded.
 
 use super::error::HttpError;
 use super::framing::BodyFraming;
@@ -7,24 +7,25 @@
 use httparse::Status;
 use std::time::UNIX_EPOCH;
 
-/// The head of a response that was received.
+/// The head of a received response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The status code.
+    /// The HTTP status code; 0 if absent.
     pub status: u16,
-    /// How many bytes the head takes.
+    /// The length of the head in bytes, including the empty line at its end.
     pub length: usize,
-    /// How the end of the body is known.
+    /// How the length of the body is determined.
     pub framing: BodyFraming,
-    /// When the response was made by the server's clock, in Unix microseconds, if it says so.
+    /// The `Date` field: the time of the response by the server's clock, in Unix microseconds; `None` if the field is
+    /// absent or malformed.
     pub date: Option<Micros>,
 }
 
-/// The head of a response at the start of `bytes`, or `None` until it is complete.
+/// Parses the head of a response at the start of `bytes`. Returns `None` if it is incomplete.
 ///
 /// # Errors
 ///
-/// An [`HttpError`] if the head is malformed or too large.
+/// Returns an [`HttpError`] if the head is malformed or too large.
 pub fn parse_response_head(bytes: &[u8]) -> Result<Option<ResponseHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -33,15 +34,15 @@
             status: head.code.unwrap_or(0),
             length,
             framing: BodyFraming::from_headers(head.headers, BodyFraming::UntilClose)?,
-            date: date_in(head.headers),
+            date: parse_date(head.headers),
         })),
         Ok(Status::Partial) if bytes.len() <= MAX_HEAD_BYTES => Ok(None),
         _ => Err(HttpError::MalformedHead),
     }
 }
 
-/// The value of the field `Date`, if it can be read.
-fn date_in(headers: &[httparse::Header]) -> Option<Micros> {
+/// Returns the value of the `Date` field in Unix microseconds; `None` if it is absent or malformed.
+fn parse_date(headers: &[httparse::Header]) -> Option<Micros> {
     let field = headers.iter().find(|header| header.name.eq_ignore_ascii_case("date"))?;
     let date = httpdate::parse_http_date(std::str::from_utf8(field.value).ok()?).ok()?;
     Some(date.duration_since(UNIX_EPOCH).ok()?.as_micros() as Micros)
@@ -50,20 +51,20 @@
 /// The head of a response of the router.
 #[derive(Clone, Copy, Debug)]
 pub struct OutgoingHead<'a> {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
     /// The media type of the body.
     pub content_type: &'a str,
     /// The length of the body in bytes.
     pub content_length: usize,
-    /// After how many seconds the client may send the query again, if the router knows.
+    /// The time in seconds after which the client may retry; `None` omits the `Retry-After` field.
     pub retry_after_seconds: Option<f64>,
     /// Whether the router closes the connection after this response.
     pub closes_connection: bool,
 }
 
 impl OutgoingHead<'_> {
-    /// The head as it is sent, with the empty line behind it.
+    /// Encodes the head, including the empty line at its end.
     pub fn encode(&self) -> String {
         let OutgoingHead { status, content_type, content_length, .. } = self;
         let reason = reason_phrase(*status);
@@ -79,7 +80,7 @@
     }
 }
 
-/// The reason phrase of the status codes that the router sends.
+/// Returns the reason phrase of a status code that the router sends.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/query-router/src/protocol/http/tests.rs
+++ b/crates/query-router/src/protocol/http/tests.rs
@@ -1,4 +1,4 @@
-//! Requests and responses: what is read of their bytes, and what is rejected.
+//! Tests of parsing requests and response heads, and of encoding response heads.
 
 use super::limits::{MAX_HEAD_BYTES, MAX_HEADERS};
 use super::response::ResponseHead;
@@ -7,7 +7,7 @@
 const HEAD: &str = "POST /api HTTP/1.1\r\nx-qos: look\r\nX-Trace-Id: t1\r\nX-Expires-In-Ms: 480\r\n";
 
 #[test]
-fn request_is_read_once_its_last_byte_is_in() {
+fn request_is_parsed_once_its_last_byte_is_received() {
     let by_length = format!("{HEAD}Content-Length: 5\r\n\r\nhello");
     let in_chunks =
         format!("{HEAD}Transfer-Encoding: chunked\r\n\r\n2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nT: v\r\n\r\n");
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn request_that_is_too_large_or_malformed_gets_its_status() {
+fn request_that_is_too_large_or_malformed_is_rejected_with_its_status() {
     let large = "x".repeat(MAX_HEAD_BYTES);
     for (rest, status) in [
         ("Content-Length: -1\r\n\r\n".to_string(), 400),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn response_head_states_how_its_body_ends() {
+fn response_head_states_the_framing_of_its_body() {
     let parse = |fields: &str| parse_response_head(format!("HTTP/1.1 200 OK\r\n{fields}\r\n").as_bytes());
     let head = |length: usize, framing: BodyFraming| {
         Ok(Some(ResponseHead { status: 200, length, framing, date: None }))
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn texts_of_errors_are_the_bodies_that_clients_get() {
+fn error_texts_are_the_bodies_sent_to_clients() {
     for (error, status, text) in [
         (HttpError::MalformedHead, 400, "the head is malformed"),
         (HttpError::HeadTooLarge, 431, "the head is too large"),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn the_date_of_a_response_is_read_if_it_can_be() {
+fn date_of_a_response_is_parsed_unless_it_is_absent_or_malformed() {
     let date = |field: &str| {
         let head = format!("HTTP/1.1 200 OK\r\n{field}\r\nContent-Length: 0\r\n\r\n");
         parse_response_head(head.as_bytes()).expect("a head").expect("a complete head").date
--- a/crates/query-router/src/protocol/json_stream.rs
+++ b/crates/query-router/src/protocol/json_stream.rs
@@ -1,76 +1,76 @@
-//! A stream of JSON objects as a watch sends them: one behind the other, each on one line or indented over
-//! many.
+//! Parser of the concatenated JSON objects that a discovery watch sends, each on a single line or pretty-printed over
+//! several lines.
 
 #[cfg(test)]
 mod tests;
 
-/// The longest object or list that is read, in bytes; some thousands of indented entries.
+/// Maximum size of an endpoint list in bytes: enough for several thousand pretty-printed entries.
 pub const MAX_ENDPOINT_LIST_BYTES: usize = 2 * 1024 * 1024;
 
-/// What was found next in the stream.
+/// The next item in the stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum JsonStreamItem {
-    /// Nothing is complete yet.
+    /// The received bytes contain no further complete item.
     Incomplete,
-    /// A line ended between objects.
+    /// A line feed outside an object.
     BlankLine,
-    /// The bytes of one object.
+    /// The bytes of a complete object.
     Object(Vec<u8>),
 }
 
-/// Why a stream cannot be read any further.
+/// The stream is malformed; parsing cannot continue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum JsonStreamError {
-    /// Something other than an object begins.
-    #[error("what comes is no object")]
+    /// The stream contains something other than an object or white space.
+    #[error("expected a JSON object")]
     NotAnObject,
-    /// A string is not closed on its line.
-    #[error("a text is cut off")]
+    /// A string contains an unescaped line feed.
+    #[error("a string is not closed on its line")]
     UnterminatedString,
-    /// An object is over [`MAX_ENDPOINT_LIST_BYTES`].
-    #[error("an object is too long")]
+    /// An object is longer than [`MAX_ENDPOINT_LIST_BYTES`].
+    #[error("a JSON object exceeds {MAX_ENDPOINT_LIST_BYTES} bytes")]
     ObjectTooLong,
 }
 
-/// The state of the scanner.
+/// The lexical state of the scanner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum ScanState {
-    /// Between objects.
+    /// Outside any object.
     #[default]
     Between,
     /// Inside `depth` nested objects and arrays.
     Inside { depth: usize },
     /// Inside a string within `depth` nested objects and arrays.
     InString { depth: usize },
-    /// Behind a backslash in such a string.
+    /// After a backslash in such a string.
     InEscape { depth: usize },
 }
 
-/// Splits a stream into objects. Each byte is scanned once, however small the pieces are in which the stream arrives.
+/// Splits a stream into objects. Each byte is scanned only once, however the stream is split into reads.
 #[derive(Debug, Default)]
 pub struct JsonStream {
     buffer: Vec<u8>,
-    /// How many bytes of the buffer were scanned.
+    /// Number of scanned bytes at the start of the buffer.
     scanned: usize,
     state: ScanState,
 }
 
 impl JsonStream {
-    /// Adds received bytes.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether an object has begun and is not complete.
+    /// Returns whether the scanned bytes end within an object.
     pub fn is_inside_object(&self) -> bool {
         self.state != ScanState::Between
     }
 
-    /// Scans on to the next object or line end.
+    /// Scans up to the end of the next object or blank line.
     ///
     /// # Errors
     ///
-    /// A [`JsonStreamError`] if the bytes are no stream of objects.
+    /// Returns a [`JsonStreamError`] if the bytes are not a stream of objects.
     pub fn next_item(&mut self) -> Result<JsonStreamItem, JsonStreamError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -100,7 +100,7 @@
         Ok(JsonStreamItem::Incomplete)
     }
 
-    /// Scans a byte between objects.
+    /// Scans a byte outside any object.
     fn scan_between(&mut self, byte: u8) -> Result<Option<JsonStreamItem>, JsonStreamError> {
         match byte {
             b'\n' => Ok(Some(JsonStreamItem::BlankLine)),
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Scans a byte of an object outside its strings. Returns the object if it ends there.
+    /// Scans a byte of an object that is not part of a string. Returns the object if the byte ends it.
     fn scan_inside(&mut self, byte: u8, depth: usize) -> Option<JsonStreamItem> {
         self.state = match byte {
             b'"' => ScanState::InString { depth },
@@ -127,7 +127,7 @@
         (self.state == ScanState::Between).then(|| self.take_object())
     }
 
-    /// Removes the scanned bytes, which are one object.
+    /// Removes and returns the scanned bytes, which are one complete object.
     fn take_object(&mut self) -> JsonStreamItem {
         let rest = self.buffer.split_off(self.scanned);
         self.scanned = 0;
@@ -135,8 +135,8 @@
     }
 }
 
-/// The state after a byte of a string. Guards against a truncated object that swallows everything behind it: no string
-/// extends beyond its line.
+/// Returns the state after a byte of a string. Rejects a line feed in a string: in a truncated object, the string would
+/// otherwise extend over the objects that follow.
 fn scan_string(byte: u8, depth: usize) -> Result<ScanState, JsonStreamError> {
     match byte {
         b'\\' => Ok(ScanState::InEscape { depth }),
--- a/crates/query-router/src/protocol/json_stream/tests.rs
+++ b/crates/query-router/src/protocol/json_stream/tests.rs
@@ -1,4 +1,4 @@
-//! Objects of a watch: where they end.
+//! Tests of splitting a stream into JSON objects.
 
 use super::*;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn objects_end_where_their_brackets_do_whatever_the_pieces() {
+fn objects_end_at_their_closing_bracket_however_the_stream_is_split() {
     let (one, two) = (r#"{"a":"}\"{","b":[{}]}"#, "{\n  \"a\": [\n    {\"b\": \"\\\\\"}\n  ]\n}");
     let text = format!("\n{one}\n\n \r\n{two}{one}\n");
     for piece_length in 1..=text.len() {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_stream_of_objects_are_rejected() {
+fn bytes_that_are_not_a_stream_of_objects_are_rejected() {
     assert_eq!(objects(b"\n[1]\n", 9), Err(JsonStreamError::NotAnObject));
     assert_eq!(objects(b"{\"a\":\"b\n{\"a\":1}\n", 9), Err(JsonStreamError::UnterminatedString));
     let too_long = format!("{{{}}}", " ".repeat(MAX_ENDPOINT_LIST_BYTES));
--- a/crates/query-router/src/protocol/mod.rs
+++ b/crates/query-router/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! Parsers and encoders of everything that the query router exchanges with its peers. They are total: any
-//! input gives a value or an error, and nothing is read beyond stated limits.
+//! Parsers and encoders of all messages that the query router exchanges with its peers. Parsers return a value or an
+//! error for any input and never panic; every length is limited.
 
 pub mod frames;
 pub mod http;
--- a/crates/query-router/src/protocol/query_request.rs
+++ b/crates/query-router/src/protocol/query_request.rs
@@ -1,4 +1,4 @@
-//! The body and headers of a client's query, checked field by field before the query is reported to the balancer.
+//! Parser of a client's query. The headers and the body are validated before the query is passed to the balancer.
 
 #[cfg(test)]
 mod tests;
@@ -7,38 +7,38 @@
 use balancer::Micros;
 use serde_json::Value as Json;
 
-/// How far the shares of an answer may be from adding up to 1.
+/// Maximum difference between the sum of the weights of a query and 1.
 const WEIGHT_TOLERANCE: f64 = 0.01;
-/// The longest `X-Trace-Id`, in bytes.
+/// Maximum length of `X-Trace-Id` in bytes.
 const MAX_TRACE_ID_BYTES: usize = 128;
 
-/// One shard that a query asks for.
+/// One shard of a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestedShard {
     /// The index of the shard.
     pub shard: usize,
-    /// Its share of the answer, from 0 to 1.
+    /// The weight of the shard in the completeness of the answer, from 0 to 1.
     pub weight: f64,
-    /// A rough figure for its work, in microseconds; 0 if not stated.
+    /// The estimated work of the shard request in microseconds; 0 if the client states none.
     pub work: Micros,
 }
 
-/// What a query asks for, with names resolved to indices.
+/// A validated query, with names resolved to indices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
     /// The index of the service class.
     pub class: usize,
-    /// The index of the tenant; 0 where no tenants are configured.
+    /// The index of the tenant; 0 if no tenants are configured.
     pub tenant: usize,
-    /// How long an answer is of use, in microseconds from the arrival.
+    /// The deadline, in microseconds from the arrival of the query.
     pub deadline: Micros,
-    /// The shards asked for, each once.
+    /// The requested shards, without duplicates.
     pub shards: Vec<RequestedShard>,
-    /// The text that goes to every shard.
+    /// The query text, which is sent to every shard.
     pub text: String,
 }
 
-/// Why a query cannot be understood. Its text is the body of the response that the client gets.
+/// A field of a query is missing or invalid. The error text is the body of the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QueryRequestError {
     /// `X-Trace-Id` is missing, too long or not printable ASCII.
@@ -59,16 +59,16 @@
     /// `segments` is missing, empty or not a list.
     #[error("segments is missing or not a list of parts")]
     InvalidSegments,
-    /// A `segment` is not the index of a shard.
+    /// A `segment` is not the index of a configured shard.
     #[error("a segment's number names no known shard")]
     UnknownShard,
-    /// A shard is asked for twice.
+    /// A shard is requested more than once.
     #[error("a segment is named twice")]
     DuplicateShard,
     /// A `boost` is not a number from 0 to 1.
     #[error("a segment's boost is missing or not a share")]
     InvalidWeight,
-    /// A `work` is not a positive number or 0.
+    /// A `work` is neither absent nor a non-negative number.
     #[error("a segment's work is not a time")]
     InvalidWork,
     /// The weights do not add up to 1.
@@ -79,23 +79,23 @@
     InvalidText,
 }
 
-/// The names and the number of shards that queries are checked against.
+/// The configured names and number of shards against which queries are validated.
 #[derive(Debug, Default)]
 pub struct QueryVocabulary {
     /// The names of the service classes, in the order of their indices.
     pub classes: Vec<String>,
-    /// The names of the tenants, in the order of their indices; empty if queries name none.
+    /// The names of the tenants, in the order of their indices. If empty, `X-Customer` is ignored.
     pub tenants: Vec<String>,
-    /// The number of shards.
+    /// The number of configured shards.
     pub shards: usize,
 }
 
 impl QueryVocabulary {
-    /// Reads the query in a request.
+    /// Parses and validates the query in a request.
     ///
     /// # Errors
     ///
-    /// The [`QueryRequestError`] of the first field that cannot be used.
+    /// Returns the [`QueryRequestError`] of the first missing or invalid field.
     pub fn parse(&self, request: &Request) -> Result<QueryRequest, QueryRequestError> {
         check_trace_id(request.trace_id)?;
         let class = index_of(&self.classes, request.service_class);
@@ -146,7 +146,7 @@
     names.iter().position(|known| known == name)
 }
 
-/// A positive number of milliseconds in digits alone, as microseconds.
+/// Parses a positive number of milliseconds, in decimal digits without a sign. Returns it in microseconds.
 fn parse_deadline(text: &str) -> Result<Micros, QueryRequestError> {
     let only_digits = text.bytes().all(|byte| byte.is_ascii_digit());
     let milliseconds: Option<u32> = text.parse().ok().filter(|&ms| ms > 0 && only_digits);
--- a/crates/query-router/src/protocol/query_request/tests.rs
+++ b/crates/query-router/src/protocol/query_request/tests.rs
@@ -1,4 +1,4 @@
-//! A query: what is read of it, and what is wrong with it.
+//! Tests of parsing and validating queries.
 
 use super::*;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn query_is_read_as_indices_and_figures() {
+fn names_and_numbers_of_a_valid_query_are_parsed() {
     let body = r#"{"segments":[{"segment":3,"boost":0.25,"work":9000,"affinity":"0f"},
         {"segment":0,"boost":0.75}],"text":"c4\u00e9","new":1}"#;
     let shards = vec![
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn texts_of_errors_are_the_bodies_that_clients_get() {
+fn error_texts_are_the_bodies_sent_to_clients() {
     for (error, text) in [
         (QueryRequestError::InvalidTraceId, "X-Trace-Id is missing or not a plain word"),
         (QueryRequestError::UnknownServiceClass, "X-Qos names no known service class"),
