--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -22,7 +22,7 @@
 impl TestRouter {
     /// Starts a router whose cached endpoint list contains one node and whose discovery service never responds.
     fn new() -> TestRouter {
-        let listener = || TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = || TcpListener::bind("127.0.0.1:0").expect("binding to a free port");
         let (node, discovery) = (listener(), listener());
         let address = |listener: &TcpListener| listener.local_addr().expect("an address");
         let member = serde_json::json!({"id": "a", "host_port": address(&node), "locality": "z", "cell": 0,
@@ -37,9 +37,9 @@
                 "obligations": {"askWithinNs": 60_000_000_000u64},
                 "services": [
                     {"name": "pay", "idempotency": "non_idempotent", "deadlineNs": 20_000_000_000u64}]}});
-        let config = Config::parse(&config.to_string()).expect("a configuration");
-        let signals = install_signal_handlers().expect("signals");
-        let (event_loop, server) = start(signals, config, String::new()).expect("it starts");
+        let config = Config::parse(&config.to_string()).expect("a valid configuration");
+        let signals = install_signal_handlers().expect("blocking the signals");
+        let (event_loop, server) = start(signals, config, String::new()).expect("starting the router");
         let address = server.listener.local_address().expect("an address");
         TestRouter { event_loop, server, address, node, _discovery: discovery }
     }
@@ -49,7 +49,9 @@
         let started = Instant::now();
         while !condition(self) {
             assert!(started.elapsed() < MAX_WAIT, "{failure}");
-            self.event_loop.dispatch(Some(Duration::from_millis(5)), &mut self.server).expect("events");
+            self.event_loop
+                .dispatch(Some(Duration::from_millis(5)), &mut self.server)
+                .expect("dispatching events");
             self.server.run_iteration();
         }
     }
@@ -60,15 +62,15 @@
 
     /// Accepts the next connection to the node, while iterations of the router run.
     fn accept_at_node(&mut self) -> TcpStream {
-        self.node.set_nonblocking(true).expect("a mode");
+        self.node.set_nonblocking(true).expect("changing the blocking mode");
         let accepted = std::cell::RefCell::new(None);
         self.run_until("the router does not connect to the node", |router| {
             *accepted.borrow_mut() = router.node.accept().ok();
             accepted.borrow().is_some()
         });
         let (stream, _) = accepted.into_inner().expect("a connection");
-        stream.set_nonblocking(false).expect("a mode");
-        stream.set_read_timeout(Some(MAX_WAIT)).expect("a timeout");
+        stream.set_nonblocking(false).expect("changing the blocking mode");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("setting the read timeout");
         stream
     }
 
@@ -76,10 +78,10 @@
     fn read_frame(&mut self, stream: &mut TcpStream) -> String {
         self.run_until("the router sends no frame", |_| has_unread(stream));
         let mut head = [0; 5];
-        stream.read_exact(&mut head).expect("a head");
+        stream.read_exact(&mut head).expect("a complete head");
         let mut payload = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 1];
         stream.read_exact(&mut payload).expect("a complete frame");
-        String::from_utf8(payload).expect("text")
+        String::from_utf8(payload).expect("UTF-8")
     }
 
     /// Runs iterations until the router has written a response, and returns the status line of the response.
@@ -88,13 +90,13 @@
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0];
-            client.read_exact(&mut byte).expect("a head");
+            client.read_exact(&mut byte).expect("a complete head");
             head.extend(byte);
         }
-        let head = String::from_utf8(head).expect("text");
+        let head = String::from_utf8(head).expect("UTF-8");
         let length = head.lines().find_map(|line| line.strip_prefix("Content-Length: "));
-        let length: usize = length.expect("a length").parse().expect("a length");
-        client.read_exact(&mut vec![0; length]).expect("a body");
+        let length: usize = length.expect("a Content-Length").parse().expect("an integer");
+        client.read_exact(&mut vec![0; length]).expect("a complete body");
         head.lines().next().unwrap_or_default().to_string()
     }
 
@@ -113,9 +115,9 @@
 
 /// Returns whether a stream has unread bytes or an unread end of stream.
 fn has_unread(stream: &TcpStream) -> bool {
-    stream.set_nonblocking(true).expect("a mode");
+    stream.set_nonblocking(true).expect("changing the blocking mode");
     let unread = stream.peek(&mut [0]).is_ok();
-    stream.set_nonblocking(false).expect("a mode");
+    stream.set_nonblocking(false).expect("changing the blocking mode");
     unread
 }
 
@@ -141,13 +143,13 @@
         |router: &TestRouter| router.server.wake_at.is_some_and(|at| at <= router.server.clock.now());
     while !is_due(&router) {
         let timeout = router.server.poll_timeout();
-        router.event_loop.dispatch(timeout, &mut router.server).expect("events");
+        router.event_loop.dispatch(timeout, &mut router.server).expect("dispatching events");
         if !is_due(&router) {
             router.server.run_iteration();
         }
     }
     let mut client = router.connect();
-    client.write_all(b"GET /-/ready HTTP/1.1\r\n\r\n").expect("it is read");
+    client.write_all(b"GET /-/ready HTTP/1.1\r\n\r\n").expect("writing to the router");
     router.server.accept_pending = false;
     router.server.run_iteration();
     assert!(router.server.exit != ExitState::Done, "exiting would reset a client that is connected");
@@ -164,27 +166,27 @@
     for last_bytes in [frame(b'N', "that was none"), half_frame] {
         let mut router = TestRouter::new();
         let mut client = router.connect();
-        client.write_all(query("t1").as_bytes()).expect("it is read");
-        let mut first = router.accept_at_node();
-        assert!(router.read_frame(&mut first).starts_with("t1.0 "));
-        first.write_all(&frame(b'Y', "t1.0 OK 5 -\none")).expect("it is read");
+        client.write_all(query("t1").as_bytes()).expect("writing to the router");
+        let mut first_connection = router.accept_at_node();
+        assert!(router.read_frame(&mut first_connection).starts_with("t1.0 "));
+        first_connection.write_all(&frame(b'Y', "t1.0 OK 5 -\none")).expect("writing to the router");
         assert_eq!(router.read_response(&mut client), "HTTP/1.1 200 OK");
         let client_connection = router.connection_to(client.local_addr().expect("an address"));
         let node_connection = router.connection_to(router.node.local_addr().expect("an address"));
-        first.write_all(&last_bytes).expect("it is read");
-        client.write_all(query("t2").as_bytes()).expect("it is read");
+        first_connection.write_all(&last_bytes).expect("writing to the router");
+        client.write_all(query("t2").as_bytes()).expect("writing to the router");
         while !router.has_received(node_connection) || !router.has_received(client_connection) {
             std::thread::yield_now();
         }
         router.server.read_in_next_iteration(client_connection);
         router.server.run_iteration();
-        let mut second = router.accept_at_node();
-        assert!(router.read_frame(&mut second).starts_with("t2.0 "));
-        second.write_all(&frame(b'Y', "t2.0 OK 5 -\ntwo")).expect("it is read");
+        let mut second_connection = router.accept_at_node();
+        assert!(router.read_frame(&mut second_connection).starts_with("t2.0 "));
+        second_connection.write_all(&frame(b'Y', "t2.0 OK 5 -\ntwo")).expect("writing to the router");
         assert_eq!(router.read_response(&mut client), "HTTP/1.1 200 OK");
         let mut rest = Vec::new();
         // The router closed the connection with unread input, which may reset it; reading may thus return an error.
-        let _ = first.read_to_end(&mut rest);
+        let _ = first_connection.read_to_end(&mut rest);
         assert_eq!(rest, b"");
         assert_eq!(router.server.router.counters().attempts_not_sent, 1);
     }
