--- a/crates/control-plane/src/capacity_ledger.rs
+++ b/crates/control-plane/src/capacity_ledger.rs
@@ -1,8 +1,8 @@
-//! The capacity ledger: how many requests each proxy may have in flight to each cluster.
+//! The capacity ledger: the number of concurrent requests that each proxy is granted per cluster.
 //!
-//! The capacity of a cluster is what the balancer allows all routers together; each proxy is granted a part
-//! of it. Grants are lowered before others are raised: what a proxy may still act on counts until it has
-//! acknowledged less, or has been disconnected for long enough.
+//! The capacity of a cluster is the number of concurrent requests that the balancer allows for all routers together;
+//! each proxy is granted a part of it. Grants are lowered before others are raised: a grant counts until the proxy has
+//! acknowledged a lower one or has been disconnected for long enough.
 
 use crate::ids::ProxyId;
 use std::collections::BTreeMap;
@@ -11,17 +11,18 @@
 #[derive(Debug, Default)]
 struct ClusterGrants {
     by_proxy: BTreeMap<ProxyId, u32>,
+    /// The sum of all grants in `by_proxy`.
     total: u64,
 }
 
 /// A proxy's request for a part of a cluster's capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct CapacityRequest {
-    /// The proxy's fair share.
+    /// The proxy's fair share, in concurrent requests.
     pub target: u32,
-    /// The capacity of the cluster.
+    /// The capacity of the cluster, in concurrent requests.
     pub capacity: u32,
-    /// What the proxy gets in any case.
+    /// The least number of concurrent requests offered for a higher `target`, even if no capacity is free.
     pub minimum: u32,
 }
 
@@ -32,24 +33,24 @@
 }
 
 impl CapacityLedger {
-    /// Records what a proxy may have in flight to a cluster.
+    /// Records the concurrent requests granted to a proxy for a cluster; 0 removes the grant.
     pub fn set(&mut self, cluster: &str, proxy: ProxyId, requests: u32) {
         if requests == 0 && !self.clusters.contains_key(cluster) {
             return;
         }
         let grants = self.clusters.entry(cluster.to_string()).or_default();
-        let before = match requests {
+        let previous = match requests {
             0 => grants.by_proxy.remove(&proxy),
             _ => grants.by_proxy.insert(proxy, requests),
         };
-        grants.total = grants.total + requests as u64 - before.unwrap_or(0) as u64;
+        grants.total = grants.total + requests as u64 - previous.unwrap_or(0) as u64;
         debug_assert_eq!(grants.total, grants.by_proxy.values().map(|&granted| granted as u64).sum::<u64>());
         if grants.by_proxy.is_empty() {
             self.clusters.remove(cluster);
         }
     }
 
-    /// Records all grants of a proxy; it loses those of clusters that are not named.
+    /// Records all grants of a proxy and removes those of clusters that `grants` does not contain.
     pub fn set_all(&mut self, proxy: ProxyId, grants: &BTreeMap<String, u32>) {
         let revoked: Vec<String> =
             self.clusters_of(proxy).filter(|cluster| !grants.contains_key(*cluster)).cloned().collect();
@@ -61,30 +62,30 @@
         }
     }
 
-    /// Releases all grants of a proxy.
-    pub fn forget(&mut self, proxy: ProxyId) {
+    /// Removes all grants of a proxy.
+    pub fn release_all(&mut self, proxy: ProxyId) {
         self.set_all(proxy, &BTreeMap::new());
     }
 
-    /// What a proxy may have in flight to a cluster.
+    /// Returns the concurrent requests granted to a proxy for a cluster; 0 without a grant.
     pub fn granted(&self, cluster: &str, proxy: ProxyId) -> u32 {
         self.clusters.get(cluster).and_then(|grants| grants.by_proxy.get(&proxy)).copied().unwrap_or(0)
     }
 
-    /// What each proxy may have in flight to a cluster, in the order of their ids.
+    /// Returns the grants of a cluster, ordered by proxy ID.
     pub fn grants(&self, cluster: &str) -> impl Iterator<Item = (ProxyId, u32)> {
         let grants = self.clusters.get(cluster).into_iter().flat_map(|grants| &grants.by_proxy);
         grants.map(|(&proxy, &granted)| (proxy, granted))
     }
 
-    /// What all proxies together may have in flight to a cluster.
+    /// Returns the sum of all grants of a cluster.
     pub fn total(&self, cluster: &str) -> u64 {
         self.clusters.get(cluster).map_or(0, |grants| grants.total)
     }
 
-    /// What may be granted to a proxy now: less at once, more only as far as other proxies have released
-    /// capacity, so that the total never exceeds the capacity, whichever proxy has not applied its new grant
-    /// yet.
+    /// Returns the concurrent requests that may be granted to a proxy now. A lower grant may be made immediately, a
+    /// higher one only within the free capacity, so that apart from minimums the total does not exceed the capacity
+    /// even while proxies have not applied lower grants yet.
     pub fn offer(&self, cluster: &str, proxy: ProxyId, request: CapacityRequest) -> u32 {
         let granted = self.granted(cluster, proxy);
         if request.target <= granted {
@@ -101,8 +102,8 @@
     }
 
     fn clusters_of(&self, proxy: ProxyId) -> impl Iterator<Item = &String> {
-        let of_proxy = move |grants: &ClusterGrants| grants.by_proxy.contains_key(&proxy);
-        self.clusters.iter().filter(move |(_, grants)| of_proxy(grants)).map(|(name, _)| name)
+        let has_grant = move |grants: &ClusterGrants| grants.by_proxy.contains_key(&proxy);
+        self.clusters.iter().filter(move |(_, grants)| has_grant(grants)).map(|(name, _)| name)
     }
 }
 
--- a/crates/control-plane/src/capacity_ledger/tests.rs
+++ b/crates/control-plane/src/capacity_ledger/tests.rs
@@ -16,18 +16,18 @@
         let offer = ledger.offer(CLUSTER, proxy, request(8, 16, 0));
         ledger.set(CLUSTER, proxy, offer);
     }
-    // The third proxy gets nothing until one of the others has acknowledged less.
+    // The third proxy is offered nothing until another one has acknowledged a lower grant.
     assert_eq!(ledger.offer(CLUSTER, third, request(5, 16, 0)), 0);
     assert_eq!(ledger.offer(CLUSTER, first, request(5, 16, 0)), 5);
     ledger.set(CLUSTER, first, 5);
     assert_eq!(ledger.offer(CLUSTER, third, request(5, 16, 0)), 3);
     ledger.set(CLUSTER, third, 3);
     assert_eq!(ledger.total(CLUSTER), 16);
-    // The grants of a forgotten proxy are free for others; a cluster without grants is removed.
-    ledger.forget(second);
+    // Released grants are free for other proxies; a cluster without grants is removed.
+    ledger.release_all(second);
     assert_eq!(ledger.offer(CLUSTER, third, request(5, 16, 0)), 5);
     ledger.set_all(first, &BTreeMap::new());
-    ledger.forget(third);
+    ledger.release_all(third);
     assert!(ledger.is_empty());
 }
 
--- a/crates/control-plane/src/control_plane/desired_state_update.rs
+++ b/crates/control-plane/src/control_plane/desired_state_update.rs
@@ -1,4 +1,4 @@
-//! Changes of the desired state, and the drains that they start.
+//! Updates of the desired state and the drains that they start.
 
 use super::ControlPlane;
 use super::proxy_state::ProxyState;
@@ -10,7 +10,8 @@
 use balancer::Micros;
 
 impl ControlPlane {
-    /// Derives the desired state from the nodes' health, and pushes it to all proxies if it changed.
+    /// Derives the desired state from the health of the nodes and pushes resources to all proxies if it changed.
+    /// Does nothing until an endpoint list has named a node.
     pub(super) fn update_desired_state(&mut self, now: Micros) {
         if self.endpoints.source() == EndpointSource::None {
             return;
@@ -29,8 +30,9 @@
         self.push_to_all(now);
     }
 
-    /// The proxies by which capacity is divided: those that may act on what they were sent, and at least as
-    /// many as are expected. Guards against shares that change with each proxy that comes back after a start.
+    /// Returns the number of proxies among which capacity is divided: those that are connected or may still apply
+    /// earlier grants, and for `hold` after the start at least the expected number. Otherwise every share would
+    /// change with each proxy that reconnects after a restart of the control plane.
     fn proxy_counts(&self, now: Micros) -> ProxyCounts {
         let mut by_zone = vec![0; self.site.zones.len()];
         for proxy in self.proxies.values() {
@@ -38,8 +40,8 @@
                 *count += 1;
             }
         }
-        let is_starting = now < self.started_at + self.options.hold;
-        let expected = if is_starting { self.options.expected_proxies } else { 1 };
+        let is_starting_up = now < self.started_at + self.options.hold;
+        let expected = if is_starting_up { self.options.expected_proxies } else { 1 };
         let zones = by_zone.len().max(1) as u32;
         for count in &mut by_zone {
             *count = (*count).max(expected / zones);
@@ -47,21 +49,23 @@
         ProxyCounts { total: (self.proxies.len() as u32).max(expected), by_zone }
     }
 
-    /// Tracks the drains of nodes that leave clusters, and no longer those of nodes that come back.
+    /// Starts a drain for each node that was removed from a cluster, and cancels the drain of each node that was
+    /// added to a replica set's cluster.
     fn track_drains(&mut self, now: Micros, desired: &DesiredState) {
         let (before, after) = (self.desired.nodes_in_use(), desired.nodes_in_use());
         for (&node, clusters) in &before {
             let remaining = after.get(&node).map_or(&[][..], Vec::as_slice);
-            let left: Vec<String> =
+            let left_clusters: Vec<String> =
                 clusters.iter().filter(|name| !remaining.contains(name)).cloned().collect();
-            // A node that leaves its own cluster for its replica set's is warm now: nothing has to be
-            // drained.
-            let became_warm = !remaining.is_empty() && left.iter().all(|name| is_node_cluster(name));
-            if left.is_empty() || became_warm {
+            // A node that moves from its single-node cluster to its replica set's cluster is no longer
+            // constrained, so there is nothing to drain.
+            let is_unconstrained =
+                !remaining.is_empty() && left_clusters.iter().all(|name| is_node_cluster(name));
+            if left_clusters.is_empty() || is_unconstrained {
                 continue;
             }
-            let proxies = self.proxies_with_endpoints(&left);
-            let drain = Drain { started_at: now, generation: desired.generation, clusters: left };
+            let proxies = self.proxies_with_endpoints(&left_clusters);
+            let drain = Drain { started_at: now, generation: desired.generation, clusters: left_clusters };
             self.drains.start(node, drain, proxies.into_iter());
         }
         for (node, clusters) in after {
@@ -71,10 +75,10 @@
         }
     }
 
-    /// The proxies that may act on endpoints of one of these clusters.
+    /// Returns the proxies that may have applied, or may yet apply, endpoints of one of these clusters.
     fn proxies_with_endpoints(&self, clusters: &[String]) -> Vec<ProxyId> {
         let endpoints = ResourceType::Endpoints;
-        let may_use = |proxy: &ProxyState| {
+        let may_have_endpoints = |proxy: &ProxyState| {
             let session = &proxy.session;
             clusters.iter().any(|name| {
                 session.acknowledged_generation(endpoints, name).is_some()
@@ -82,11 +86,11 @@
                     || session.is_pending(endpoints, name)
             })
         };
-        self.proxies.iter().filter(|(_, proxy)| may_use(proxy)).map(|(&id, _)| id).collect()
+        self.proxies.iter().filter(|(_, proxy)| may_have_endpoints(proxy)).map(|(&id, _)| id).collect()
     }
 }
 
-/// Whether a node is in a replica set's cluster in which it was not before.
+/// Whether one of the node's clusters is a replica set's cluster that did not contain the node before.
 fn joins_replica_set(clusters: &[String], before: Option<&Vec<String>>) -> bool {
     let is_new = |name: &String| before.is_none_or(|before| !before.contains(name));
     clusters.iter().any(|name| !is_node_cluster(name) && is_new(name))
--- a/crates/control-plane/src/control_plane/maintenance.rs
+++ b/crates/control-plane/src/control_plane/maintenance.rs
@@ -1,29 +1,29 @@
-//! What is due by the clock: load reports, probes, timeouts, leases, and checks of invariants.
+//! Periodic tasks: forwarding of load reports, probes of data nodes, timeouts, lease renewal and checks of invariants.
 
 use super::proxy_state::StreamState;
 use super::{ControlPlane, Effect, StreamError};
 use crate::ids::{ProxyId, StreamId};
 use balancer::Micros;
 
-/// How long a stream may be open before its first message.
+/// Time after which a stream without a first message is closed.
 const FIRST_MESSAGE_TIMEOUT: Micros = 5_000_000;
-/// A lease is renewed once this fraction of it has passed.
+/// A lease is renewed once one part in this many of its duration has passed.
 const LEASE_RENEWAL_FRACTION: Micros = 3;
 
 impl ControlPlane {
-    /// Tells the balancer what proxies reported.
-    pub(super) fn take_load_reports(&mut self, now: Micros) {
+    /// Passes the load reports of the last interval to the balancer.
+    pub(super) fn forward_load_reports(&mut self, now: Micros) {
         let interval = self.options.report_interval;
-        if interval == 0 || now - self.load_taken_at < interval {
+        if interval == 0 || now - self.load_forwarded_at < interval {
             return;
         }
-        self.load_taken_at = now;
+        self.load_forwarded_at = now;
         for (node, report) in self.load_reports.take() {
             self.endpoints.report_load(now, node, &report);
         }
     }
 
-    /// Tries to connect to all data nodes, where the options say so.
+    /// Requests a probe of every data node once per probe interval, if probes are enabled.
     pub(super) fn probe_nodes(&mut self, now: Micros) {
         let interval = self.options.probe_interval;
         if interval == 0 || now - self.probed_at < interval {
@@ -33,12 +33,13 @@
         self.effects.extend(self.endpoints.addresses().map(|(address, _)| Effect::ProbeNode(address)));
     }
 
-    /// Forgets proxies that have been disconnected for long enough, and releases what they were granted.
-    pub(super) fn forget_proxies(&mut self, now: Micros) {
-        let hold = self.options.hold.max(self.options.lease);
+    /// Removes proxies that have been disconnected for longer than both `hold` and the lease, and releases their
+    /// grants.
+    pub(super) fn remove_expired_proxies(&mut self, now: Micros) {
+        let retention = self.options.hold.max(self.options.lease);
         let mut expired = Vec::new();
         for (&id, proxy) in &self.proxies {
-            let is_expired = proxy.disconnected_at().is_some_and(|at| now - at > hold);
+            let is_expired = proxy.disconnected_at().is_some_and(|at| now - at > retention);
             if is_expired && !self.has_stream(id) {
                 expired.push(id);
             }
@@ -46,8 +47,8 @@
         for id in expired {
             self.proxies.remove(&id);
             self.proxy_ids.release(id.0);
-            self.ledger.forget(id);
-            self.drains.forget(id);
+            self.capacity_ledger.release_all(id);
+            self.drains.remove_proxy(id);
         }
         self.metrics.proxies.set(self.proxies.len() as i64);
     }
@@ -56,27 +57,28 @@
         self.streams.values().any(|stream| stream.proxy == Some(proxy))
     }
 
-    /// Ends streams that have no first message in time, and those of proxies that do not answer responses.
+    /// Closes streams that received no first message in time, and discovery streams on which a response was neither
+    /// acknowledged nor rejected in time.
     pub(super) fn close_inactive_streams(&mut self, now: Micros) {
-        let is_silent =
+        let is_unidentified =
             |stream: &StreamState| stream.proxy.is_none() && now - stream.opened_at > FIRST_MESSAGE_TIMEOUT;
-        let silent = self.streams.iter().filter(|(_, stream)| is_silent(stream));
-        let silent: Vec<StreamId> = silent.map(|(&id, _)| id).collect();
-        for stream in silent {
+        let unidentified = self.streams.iter().filter(|(_, stream)| is_unidentified(stream));
+        let unidentified: Vec<StreamId> = unidentified.map(|(&id, _)| id).collect();
+        for stream in unidentified {
             self.close_stream(now, stream, StreamError::NoFirstMessage);
         }
         let timeout = self.options.answer_timeout;
-        let slow = self
+        let unresponsive = self
             .proxies
             .values()
             .filter(|proxy| proxy.session.oldest_pending().is_some_and(|sent_at| now - sent_at > timeout));
-        let slow: Vec<StreamId> = slow.filter_map(|proxy| proxy.stream()).collect();
-        for stream in slow {
+        let unresponsive: Vec<StreamId> = unresponsive.filter_map(|proxy| proxy.stream()).collect();
+        for stream in unresponsive {
             self.close_stream(now, stream, StreamError::AcknowledgementTimeout);
         }
     }
 
-    /// Renews the leases of endpoints in time.
+    /// Renews the leases of endpoints that are due for renewal.
     pub(super) fn renew_leases(&mut self, now: Micros) {
         let lease = self.options.lease;
         if lease == 0 {
@@ -95,22 +97,24 @@
         }
     }
 
-    /// Counts constrained nodes of which more is granted than their capacity, although no proxy has yet to
-    /// acknowledge a lower grant.
+    /// Counts the constrained nodes whose grants exceed their capacity although no proxy has a lower grant to
+    /// acknowledge.
     pub(super) fn check_invariants(&mut self) {
         let nodes = self.desired.constrained_nodes.iter();
         let exceeded = nodes.filter(|(cluster, node)| {
-            self.ledger.total(cluster) > node.capacity as u64 && !self.is_lowering(cluster, node.capacity)
+            self.capacity_ledger.total(cluster) > node.capacity as u64
+                && !self.has_pending_reduction(cluster, node.capacity)
         });
         let exceeded = exceeded.count();
         debug_assert_eq!(exceeded, 0);
         self.metrics.invariants_broken.inc_by(exceeded as u64);
     }
 
-    /// Whether a proxy has yet to acknowledge a lower grant of a constrained node.
-    fn is_lowering(&self, cluster: &str, capacity: u32) -> bool {
+    /// Whether some proxy has not yet acknowledged a lower grant of a constrained node.
+    fn has_pending_reduction(&self, cluster: &str, capacity: u32) -> bool {
         self.proxies.iter().any(|(&id, proxy)| {
-            self.ledger.granted(cluster, id) > self.constrained_target(cluster, capacity, id, &proxy.name)
+            self.capacity_ledger.granted(cluster, id)
+                > self.constrained_target(cluster, capacity, id, &proxy.name)
         })
     }
 }
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -1,5 +1,5 @@
-//! The state machine of the control plane. Its methods take plain values and the time, change the state and
-//! leave effects for the caller. It uses no socket and no clock.
+//! The state machine of the control plane. Its methods take plain values and the current time, change the state
+//! and queue effects for the caller to carry out. It performs no I/O and reads no clock.
 
 mod desired_state_update;
 mod maintenance;
@@ -36,46 +36,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The interval at which `ControlPlane::tick` is to be called. The balancer decides at each tick, and at once
-/// after an endpoint update.
+/// Interval at which the caller calls `ControlPlane::tick`. The balancer decides at each tick and immediately after
+/// an endpoint update.
 pub const TICK_INTERVAL: Micros = 50_000;
-/// How long after a failed endpoint update discovery is watched again, where the balancer does not request
-/// it.
+/// Delay between a failed endpoint update and the next watch of discovery in pushed mode, unless the balancer
+/// requests one earlier.
 const WATCH_RETRY_DELAY: Micros = 2_000_000;
-/// The stream of a dump, which no proxy has.
+/// Stream ID under which a dump identifies its proxy; never used for a real stream.
 const DUMP_STREAM: StreamId = StreamId(u64::MAX);
 
-/// What the caller is to do.
+/// An action that the caller carries out for the control plane.
 #[derive(Debug, PartialEq)]
 pub enum Effect {
     /// Send a response on a stream.
     Respond {
-        /// The stream.
+        /// The stream on which the response is sent.
         stream: StreamId,
-        /// The response.
+        /// The response to encode and send.
         response: Response,
     },
-    /// Ask the proxy of a load reporting stream for reports.
+    /// Request load reports from the proxy on a load reporting stream.
     RequestLoadReports(StreamId),
-    /// End a stream.
+    /// Close a stream with an error status.
     CloseStream {
-        /// The stream.
+        /// The stream to close.
         stream: StreamId,
-        /// The reason, which makes the stream's status.
+        /// The reason, from which the gRPC status of the stream is made.
         error: StreamError,
     },
-    /// Watch the endpoint list of discovery, in place of a watch that is under way.
+    /// Watch the endpoint list of discovery. Replaces a watch in progress.
     WatchEndpoints,
     /// Try to connect to a data node.
     ProbeNode(SocketAddr),
 }
 
-/// Whether proxies may act on what an earlier control plane handed out.
+/// Whether proxies may still use resource versions from before this control plane started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EarlierVersions {
-    /// No proxy has come with versions from before the start.
+    /// No proxy has presented versions from before the start.
     Unseen,
-    /// One has, so others that have not come back yet may act on such versions, too.
+    /// A proxy has presented such versions, so proxies that have not reconnected yet may use them too.
     InUse,
 }
 
@@ -86,9 +86,9 @@
     endpoints: EndpointTable,
     desired: DesiredState,
     resources: ResourceCache,
-    /// The snapshots of the current desired state.
+    /// Snapshots of the current desired state, shared by proxies with equal grants.
     snapshots: HashMap<ProxyGrants, Arc<ResourceSnapshot>>,
-    ledger: CapacityLedger,
+    capacity_ledger: CapacityLedger,
     drains: DrainTracker,
     load_reports: LoadReports,
     streams: BTreeMap<StreamId, StreamState>,
@@ -96,15 +96,17 @@
     proxies: BTreeMap<ProxyId, ProxyState>,
     earlier_versions: EarlierVersions,
     started_at: Micros,
-    watch_at: Option<Micros>,
-    load_taken_at: Micros,
+    /// Time of the next watch of discovery; `None` if none is scheduled.
+    next_watch_at: Option<Micros>,
+    /// Time at which load reports were last passed to the balancer.
+    load_forwarded_at: Micros,
     probed_at: Micros,
     metrics: Metrics,
     effects: Vec<Effect>,
 }
 
 impl ControlPlane {
-    /// A control plane with the endpoints in the configuration and no proxies.
+    /// Creates a control plane with the cached endpoints of the configuration and no proxies.
     pub fn new(now: Micros, config: &Config, options: Options) -> ControlPlane {
         let site = SiteSettings::new(config);
         let mut control_plane = ControlPlane {
@@ -114,7 +116,7 @@
             endpoints: EndpointTable::new(config),
             desired: DesiredState::default(),
             snapshots: HashMap::new(),
-            ledger: CapacityLedger::default(),
+            capacity_ledger: CapacityLedger::default(),
             drains: DrainTracker::default(),
             load_reports: LoadReports::default(),
             streams: BTreeMap::new(),
@@ -122,8 +124,8 @@
             proxies: BTreeMap::new(),
             earlier_versions: EarlierVersions::Unseen,
             started_at: now,
-            watch_at: Some(now),
-            load_taken_at: now,
+            next_watch_at: Some(now),
+            load_forwarded_at: now,
             probed_at: now,
             metrics: Metrics::new(),
             effects: Vec::new(),
@@ -139,35 +141,35 @@
                 let name = &class.name;
                 tracing::warn!(
                     class = name,
-                    "proxies reject the class, since they cannot keep idempotency keys"
+                    "proxies reject requests of this service class because they do not support idempotency keys"
                 );
             }
         }
     }
 
-    /// Takes what the caller is to do, in this order.
+    /// Returns the effects queued since the last call, in the order in which the caller carries them out.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The metrics in the OpenMetrics text format.
+    /// Returns the metrics in the OpenMetrics text format.
     pub fn metrics_text(&self) -> String {
         self.metrics.text()
     }
 
-    /// How long a probe of a data node may take to connect.
+    /// Returns the connect timeout of a probe of a data node.
     pub(crate) fn probe_timeout(&self) -> Duration {
         self.site.probe_timeout
     }
 
-    /// Takes in an endpoint list in discovery's form, or the news that there is none.
+    /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed.
     pub fn endpoint_update(&mut self, now: Micros, list: &Json, update: EndpointUpdate) {
         let mut actions = RequestedActions::default();
         self.endpoints.update(now, &self.site, list, update, &mut actions);
         if update == EndpointUpdate::Failed {
             self.metrics.endpoint_updates_failed.inc();
             let is_pushed = self.site.discovery_mode == DiscoveryMode::Pushed;
-            self.watch_at = is_pushed.then_some(now + WATCH_RETRY_DELAY);
+            self.next_watch_at = is_pushed.then_some(now + WATCH_RETRY_DELAY);
         } else {
             self.metrics.endpoint_updates.inc();
         }
@@ -175,56 +177,56 @@
         self.decide(now, actions);
     }
 
-    /// Lets the balancer decide, and pushes what changed.
+    /// Runs a decision of the balancer and pushes resources if the desired state changed.
     fn decide(&mut self, now: Micros, mut actions: RequestedActions) {
         self.endpoints.decide(now, &mut actions);
         for line in &actions.log_lines {
             tracing::info!("{line}");
         }
         if actions.watch == WatchRequest::Requested && now > self.started_at {
-            self.watch_at = Some(now);
+            self.next_watch_at = Some(now);
         }
         self.metrics.nodes.set(self.endpoints.count() as i64);
         self.update_desired_state(now);
     }
 
-    /// Takes in whether a data node could be reached from here.
+    /// Records the result of a probe of a data node. Results for addresses that are no longer listed are ignored.
     pub fn probe_finished(&mut self, address: SocketAddr, result: ProbeResult) {
         if let Some(node) = self.endpoints.find(&address) {
             self.load_reports.add_probe(node, result);
         }
     }
 
-    /// Does what is due by the clock.
+    /// Runs the periodic tasks, the balancer's decision and the pushes that are due at `now`.
     pub fn tick(&mut self, now: Micros) {
-        if self.watch_at.is_some_and(|at| at <= now) {
-            self.watch_at = None;
+        if self.next_watch_at.is_some_and(|at| at <= now) {
+            self.next_watch_at = None;
             self.effects.push(Effect::WatchEndpoints);
         }
-        self.take_load_reports(now);
+        self.forward_load_reports(now);
         self.probe_nodes(now);
-        self.forget_proxies(now);
+        self.remove_expired_proxies(now);
         self.close_inactive_streams(now);
         self.decide(now, RequestedActions::default());
         self.renew_leases(now);
         self.push_to_partially_granted(now);
         let grace_started = now - self.site.drain_grace;
-        self.metrics.drains_past_grace.set(self.drains.unacknowledged(grace_started) as i64);
+        self.metrics.drains_past_grace.set(self.drains.unacknowledged_count(grace_started) as i64);
         self.check_invariants();
     }
 
-    /// What all proxies together may have in flight at each constrained node.
+    /// Returns the total grants and the capacity of each constrained node.
     pub fn constrained_usage(&self) -> Vec<ConstrainedUsage> {
         let constrained = self.desired.constrained_nodes.iter();
         let usage = constrained.map(|(cluster, node)| ConstrainedUsage {
             cluster: cluster.clone(),
-            granted: self.ledger.total(cluster),
+            granted: self.capacity_ledger.total(cluster),
             capacity: node.capacity,
         });
         usage.collect()
     }
 
-    /// The resources that a proxy with this id and zone would be sent.
+    /// Returns the resources that a proxy with this ID and zone would be sent; empty if it may not be served.
     pub(crate) fn snapshot_of(&mut self, now: Micros, node: ProxyNode) -> Arc<ResourceSnapshot> {
         let service = Service::Discovery(ProtocolVariant::Delta);
         self.stream_opened(now, DUMP_STREAM, service, AuthorizedNames::Any);
@@ -234,13 +236,13 @@
     }
 }
 
-/// What proxies may have in flight at a constrained node.
+/// Grants and capacity of a constrained node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConstrainedUsage {
-    /// The node's cluster.
+    /// Name of the node's cluster.
     pub cluster: String,
-    /// Requests that proxies were granted.
+    /// Number of concurrent requests granted to all proxies together.
     pub granted: u64,
-    /// Requests that may be granted.
+    /// Number of concurrent requests that may be granted to all proxies together.
     pub capacity: u32,
 }
--- a/crates/control-plane/src/control_plane/proxy_state.rs
+++ b/crates/control-plane/src/control_plane/proxy_state.rs
@@ -1,4 +1,4 @@
-//! What is known of streams and proxies.
+//! The state of streams and proxies.
 
 use crate::ids::{ProxyId, StreamId};
 use crate::resource::ResourceSnapshot;
@@ -6,26 +6,26 @@
 use balancer::Micros;
 use std::sync::Arc;
 
-/// The gRPC service of a stream.
+/// The gRPC service on which a stream was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// The aggregated discovery service.
+    /// The aggregated discovery service (ADS).
     Discovery(ProtocolVariant),
-    /// The load reporting service.
+    /// The load reporting service (LRS).
     LoadReporting,
 }
 
-/// The proxy ids that a stream may use.
+/// The proxy IDs that a stream is authorized to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthorizedNames {
-    /// Any id, since the connection has no certificate.
+    /// Any ID, because the client presented no certificate.
     Any,
-    /// The names in the certificate of the connection.
+    /// The names in the client's certificate.
     Only(Arc<Vec<String>>),
 }
 
 impl AuthorizedNames {
-    /// Whether the stream may use this id.
+    /// Whether the stream is authorized to use this proxy ID.
     pub fn contains(&self, id: &str) -> bool {
         match self {
             AuthorizedNames::Any => true,
@@ -38,48 +38,50 @@
 pub(super) struct StreamState {
     pub service: Service,
     pub opened_at: Micros,
-    /// The proxy, once the stream's first message has named it.
+    /// The proxy that the first message named; `None` until that message is received.
     pub proxy: Option<ProxyId>,
     pub authorized_names: AuthorizedNames,
 }
 
-/// Whether a proxy has a discovery stream.
+/// Whether a proxy has an open discovery stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProxyConnection {
     Connected(StreamId),
     DisconnectedAt(Micros),
 }
 
-/// Whether a proxy has been offered its fair share of all clusters.
+/// Whether a proxy has been offered its fair share of every cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum GrantStatus {
     Full,
-    /// Other proxies have to release capacity first.
+    /// The rest of the share is offered once other proxies have released capacity.
     Partial,
 }
 
-/// The snapshot of a proxy that has its fair share of all clusters.
+/// The snapshot of a proxy that was granted its fair share of every cluster.
 pub(super) struct CachedSnapshot {
-    /// The generation of the desired state to which the snapshot belongs.
+    /// The generation of the desired state from which the snapshot was made.
     pub generation: u64,
     pub resources: Arc<ResourceSnapshot>,
 }
 
-/// A proxy that is connected, or was until a short time ago.
+/// The state of a proxy that is connected or has recently disconnected.
 pub(super) struct ProxyState {
+    /// The ID of the proxy (`node.id`).
     pub name: String,
-    /// The index of its zone.
+    /// The index of the proxy's zone; one past the last zone if the settings do not name it.
     pub zone: usize,
     pub connection: ProxyConnection,
     pub session: DiscoverySession,
     pub grants: GrantStatus,
+    /// Reused until the desired state changes; `None` until the capacity ledger contains all grants of a snapshot.
     pub snapshot: Option<CachedSnapshot>,
-    /// When its endpoints' lease was last renewed.
+    /// Time at which the lease of the proxy's endpoints was last renewed.
     pub lease_renewed_at: Micros,
 }
 
 impl ProxyState {
-    /// The discovery stream, if the proxy has one.
+    /// Returns the discovery stream; `None` while the proxy is disconnected.
     pub fn stream(&self) -> Option<StreamId> {
         match self.connection {
             ProxyConnection::Connected(stream) => Some(stream),
@@ -87,7 +89,7 @@
         }
     }
 
-    /// When the last discovery stream ended, if the proxy has none.
+    /// Returns the time at which the last discovery stream ended; `None` while the proxy is connected.
     pub fn disconnected_at(&self) -> Option<Micros> {
         match self.connection {
             ProxyConnection::Connected(_) => None,
--- a/crates/control-plane/src/control_plane/push.rs
+++ b/crates/control-plane/src/control_plane/push.rs
@@ -1,4 +1,4 @@
-//! The push of resources to proxies.
+//! Pushes of resources to proxies.
 
 use super::proxy_state::GrantStatus;
 use super::{ControlPlane, Effect};
@@ -9,17 +9,17 @@
 use balancer::Micros;
 
 impl ControlPlane {
-    /// Pushes to all proxies, first to those that may still use a drained node.
+    /// Pushes resources to all proxies, first to those that have not acknowledged a drain.
     pub(super) fn push_to_all(&mut self, now: Micros) {
         let proxies: Vec<ProxyId> = self.proxies.keys().copied().collect();
         let (first, others): (Vec<_>, Vec<_>) =
-            proxies.into_iter().partition(|&proxy| self.drains.waits_for(proxy));
+            proxies.into_iter().partition(|&proxy| self.drains.is_waiting_for(proxy));
         for proxy in first.into_iter().chain(others) {
             self.push(now, proxy);
         }
     }
 
-    /// Pushes to the proxies that have less than their fair share.
+    /// Pushes resources to the proxies that have been offered less than their fair share.
     pub(super) fn push_to_partially_granted(&mut self, now: Micros) {
         let partial = self.proxies.iter().filter(|(_, proxy)| proxy.grants == GrantStatus::Partial);
         let partial: Vec<ProxyId> = partial.map(|(&id, _)| id).collect();
@@ -28,11 +28,12 @@
         }
     }
 
-    /// Sends a proxy what it should have and does not have, as far as it may be sent now.
+    /// Sends a proxy the responses that bring it closer to its snapshot and may be sent now. Does nothing while the
+    /// proxy has no discovery stream or no snapshot.
     pub(super) fn push(&mut self, now: Micros, id: ProxyId) {
         let Some(stream) = self.proxies.get(&id).and_then(|proxy| proxy.stream()) else { return };
         let snapshot = self.snapshot(now, id);
-        let urgency = if self.drains.waits_for(id) { Urgency::DrainPending } else { Urgency::Normal };
+        let urgency = if self.drains.is_waiting_for(id) { Urgency::DrainPending } else { Urgency::Normal };
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
         proxy.grants = snapshot.grants;
         if snapshot.resources.of_type(ResourceType::Route).is_empty() {
@@ -44,9 +45,9 @@
             proxy.lease_renewed_at = now;
         }
         if contains(ResourceType::Cluster) {
-            self.ledger.set_all(id, &proxy.session.max_requests_in_force());
+            self.capacity_ledger.set_all(id, &proxy.session.max_requests_in_force());
         }
-        for duration in self.drains.acknowledged(now, id, &proxy.session) {
+        for duration in self.drains.record_acknowledgements(now, id, &proxy.session) {
             self.metrics.drain_seconds.observe(duration as f64 / 1e6);
         }
         for response in responses {
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Counts a response and sends it.
+    /// Queues a response for sending and updates the metrics.
     pub(super) fn respond(&mut self, stream: StreamId, response: Response) {
         let kind = format!("{:?}", response.resource_type).to_lowercase();
         self.metrics.responses.get_or_create(&ResourceTypeLabel { kind }).inc();
--- a/crates/control-plane/src/control_plane/request.rs
+++ b/crates/control-plane/src/control_plane/request.rs
@@ -1,8 +1,8 @@
-//! Requests of proxies: discovery requests and load reports.
+//! Handling of discovery requests and load reports from proxies.
 
 use super::{ControlPlane, EarlierVersions, Effect, StreamError};
 use crate::ids::{ProxyId, StreamId};
-use crate::load_reports::{EndpointLoad, LoadCounts, MAX_ENTRIES};
+use crate::load_reports::{EndpointLoad, LoadCounts, MAX_REPORT_ENTRIES};
 use crate::resource::{ResourceSnapshot, ResourceType};
 use crate::session::{Acknowledgement, DeltaRequest, RequestError, StateOfTheWorldRequest};
 use balancer::{Micros, NodeId};
@@ -10,30 +10,31 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// How much of a proxy's text is logged, in characters.
+/// Maximum length of a proxy's text in log lines and error messages, in characters; longer text is truncated.
 const MAX_LOGGED_TEXT: usize = 200;
-/// Reports with at most this many entries look up each address by a search through the endpoint table.
-const MAX_SEARCHED_ENTRIES: usize = 8;
+/// Load reports with at most this many entries look up each address by a linear search of the endpoint table; for
+/// larger ones an index of all addresses is built.
+const MAX_LINEAR_SEARCH: usize = 8;
 
-/// What a message says of the proxy that sends it.
+/// The fields of a message's `node` that identify the proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProxyNode<'a> {
-    /// `node.id`.
+    /// The proxy's ID: `node.id`.
     pub id: &'a str,
-    /// `node.locality.zone`.
+    /// The proxy's zone: `node.locality.zone`.
     pub zone: &'a str,
 }
 
-/// A load report, with the fields of a LoadStatsRequest.
+/// A load report with the fields of a `LoadStatsRequest` that are used.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReportRequest {
-    /// The time that the report covers; `None` if it does not say.
+    /// The time that the report covers; `None` if not specified, which stands for the configured report interval.
     pub interval: Option<Micros>,
-    /// An entry for each cluster and endpoint.
+    /// One entry per cluster and endpoint.
     pub endpoints: Vec<EndpointLoad>,
 }
 
-/// A discovery request's proxy and resource type.
+/// The stream, proxy and resource type of a discovery request.
 struct RequestOrigin {
     stream: StreamId,
     proxy: ProxyId,
@@ -41,46 +42,46 @@
 }
 
 impl ControlPlane {
-    /// Takes in a request of the state-of-the-world variant.
+    /// Handles a request of the state-of-the-world variant. `node` is required on the first request of a stream.
     pub fn state_of_the_world_request(
         &mut self, now: Micros, stream: StreamId, node: Option<ProxyNode>, request: StateOfTheWorldRequest,
     ) {
         let Some(origin) = self.identify_request(now, stream, node, &request.type_url) else { return };
         let rejection = request.rejection.clone();
-        let desired = self.desired_at_request(now, &origin, !request.version.is_empty());
+        let desired = self.snapshot_for_resumption(now, &origin, !request.version.is_empty());
         let Some(proxy) = self.proxies.get_mut(&origin.proxy) else { return };
         let result = proxy.session.state_of_the_world_request(origin.resource_type, request, &desired);
         self.request_finished(now, &origin, result, rejection);
     }
 
-    /// Takes in a request of the incremental variant.
+    /// Handles a request of the incremental variant. `node` is required on the first request of a stream.
     pub fn delta_request(
         &mut self, now: Micros, stream: StreamId, node: Option<ProxyNode>, request: DeltaRequest,
     ) {
         let Some(origin) = self.identify_request(now, stream, node, &request.type_url) else { return };
         let rejection = request.rejection.clone();
-        let desired = self.desired_at_request(now, &origin, !request.initial_versions.is_empty());
+        let desired = self.snapshot_for_resumption(now, &origin, !request.initial_versions.is_empty());
         let Some(proxy) = self.proxies.get_mut(&origin.proxy) else { return };
         let result = proxy.session.delta_request(origin.resource_type, request, &desired);
         self.request_finished(now, &origin, result, rejection);
     }
 
-    /// The proxy and the resource type of a request. Ends the stream if one of them cannot be served.
+    /// Returns the proxy and the resource type of a request. Closes the stream if one of them cannot be served.
     fn identify_request(
         &mut self, now: Micros, stream: StreamId, node: Option<ProxyNode>, type_url: &str,
     ) -> Option<RequestOrigin> {
         let proxy = self.identify_proxy(now, stream, node)?;
         let Some(resource_type) = ResourceType::from_type_url(type_url) else {
-            let type_url = loggable(type_url);
+            let type_url = truncate_and_escape(type_url);
             self.close_stream(now, stream, StreamError::UnknownResourceType { type_url });
             return None;
         };
         Some(RequestOrigin { stream, proxy, resource_type })
     }
 
-    /// The snapshot with which the first request of a type is compared, which may show that the proxy comes
-    /// back with versions from before. Later requests need none.
-    fn desired_at_request(
+    /// Returns the snapshot against which the first request of a resource type is compared to find the versions that
+    /// the proxy already has. Later requests are not compared and get an empty snapshot.
+    fn snapshot_for_resumption(
         &mut self, now: Micros, origin: &RequestOrigin, has_versions: bool,
     ) -> Arc<ResourceSnapshot> {
         let Some(proxy) = self.proxies.get_mut(&origin.proxy) else { return Arc::default() };
@@ -96,7 +97,8 @@
         self.snapshot(now, origin.proxy).resources
     }
 
-    /// Counts how a request answered an earlier response, and pushes what is due after it.
+    /// Counts the ACK or NACK in a request, records the grants that now apply and pushes further responses. Closes the
+    /// stream if the request is invalid.
     fn request_finished(
         &mut self, now: Micros, origin: &RequestOrigin, result: Result<Acknowledgement, RequestError>,
         rejection: Option<String>,
@@ -110,17 +112,17 @@
             Ok(Acknowledgement::Nack) => {
                 self.metrics.nacks.inc();
                 let (name, resource_type) = (&proxy.name, origin.resource_type);
-                let reason = loggable(rejection.as_deref().unwrap_or(""));
+                let reason = truncate_and_escape(rejection.as_deref().unwrap_or(""));
                 tracing::warn!(proxy = name, ?resource_type, reason, "proxy rejected a response");
             }
         }
         if origin.resource_type == ResourceType::Cluster {
-            self.ledger.set_all(origin.proxy, &proxy.session.max_requests_in_force());
+            self.capacity_ledger.set_all(origin.proxy, &proxy.session.max_requests_in_force());
         }
         self.push(now, origin.proxy);
     }
 
-    /// Takes in a load report.
+    /// Handles a load report. `node` is required on the first report of a stream.
     pub fn load_report(
         &mut self, now: Micros, stream: StreamId, node: Option<ProxyNode>, report: LoadReportRequest,
     ) {
@@ -129,7 +131,7 @@
         if is_first {
             self.effects.push(Effect::RequestLoadReports(stream));
         }
-        if report.endpoints.len() > MAX_ENTRIES {
+        if report.endpoints.len() > MAX_REPORT_ENTRIES {
             return self.close_stream(now, stream, StreamError::TooManyLoadReportEntries);
         }
         match self.add_load_report(proxy, &report) {
@@ -138,11 +140,11 @@
         };
     }
 
-    /// Adds the entries of a load report. Returns how many cannot be used.
+    /// Adds the entries of a load report. Returns the number of entries that are invalid or name an unknown address.
     fn add_load_report(&mut self, proxy: ProxyId, report: &LoadReportRequest) -> usize {
         let interval = report.interval.unwrap_or(self.options.report_interval);
         let nodes: Option<BTreeMap<SocketAddr, NodeId>> =
-            (report.endpoints.len() > MAX_SEARCHED_ENTRIES).then(|| self.endpoints.addresses().collect());
+            (report.endpoints.len() > MAX_LINEAR_SEARCH).then(|| self.endpoints.addresses().collect());
         let mut rejected = 0;
         for load in &report.endpoints {
             let node = match &nodes {
@@ -158,8 +160,8 @@
     }
 }
 
-/// The start of a proxy's text, without control characters.
-fn loggable(text: &str) -> String {
+/// Truncates and escapes a text received from a proxy for a log line or an error message.
+fn truncate_and_escape(text: &str) -> String {
     let start: String = text.chars().take(MAX_LOGGED_TEXT).collect();
     start.escape_debug().to_string()
 }
--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -1,4 +1,4 @@
-//! The resources that a proxy should have, with its share of each cluster's capacity.
+//! Snapshots: the resources that a proxy should have, with its share of each cluster's capacity.
 
 use super::proxy_state::{CachedSnapshot, GrantStatus, ProxyState};
 use super::{ControlPlane, EarlierVersions};
@@ -12,7 +12,7 @@
 use balancer::{Micros, NodeId};
 use std::sync::Arc;
 
-/// Snapshots that are kept for proxies to share.
+/// Number of shared snapshots at which the cache of snapshots is cleared.
 const MAX_SNAPSHOTS: usize = 4096;
 
 /// The resources that a proxy should have now.
@@ -21,23 +21,24 @@
     pub grants: GrantStatus,
 }
 
-/// What can be offered to a proxy now.
+/// The grants that can be offered to a proxy now.
 struct GrantOffer {
     grants: ProxyGrants,
     status: GrantStatus,
-    record: LedgerRecord,
+    coverage: OfferCoverage,
 }
 
-/// Whether the ledger contains all that is offered. What it does not contain may be granted to other proxies
-/// before it is sent.
+/// Whether an offer stays within the grants in the capacity ledger. The part of an offer that exceeds them is not
+/// reserved and may be granted to other proxies before the offer is sent.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum LedgerRecord {
-    Complete,
-    Incomplete,
+enum OfferCoverage {
+    WithinGrants,
+    ExceedsGrants,
 }
 
 impl ControlPlane {
-    /// The resources that a proxy should have now, with its share of each cluster.
+    /// Returns the resources that a proxy should have now, with its share of each cluster. They are empty if there is
+    /// no desired state yet or the proxy must keep its current resources.
     pub(super) fn snapshot(&mut self, now: Micros, id: ProxyId) -> ProxySnapshot {
         let empty = ProxySnapshot { resources: Arc::default(), grants: GrantStatus::Full };
         let Some(proxy) = self.proxies.get(&id) else { return empty };
@@ -45,8 +46,8 @@
         if let Some(cached) = proxy.snapshot.as_ref().filter(|cached| cached.generation == generation) {
             return ProxySnapshot { resources: cached.resources.clone(), grants: GrantStatus::Full };
         }
-        // Guards against a list from before the start that takes proxies back to an older state: only proxies
-        // that have nothing get it.
+        // The cached endpoint list may be older than the resources that a resumed proxy has. Until discovery has
+        // sent a list, only proxies without resources get a snapshot.
         let is_current = self.endpoints.source() == EndpointSource::Discovery;
         if generation == 0 || !is_current && proxy.session.is_resumed() {
             return empty;
@@ -54,7 +55,7 @@
         let offer = self.offer(now, id, proxy);
         let resources = self.shared_snapshot(offer.grants);
         if offer.status == GrantStatus::Full
-            && offer.record == LedgerRecord::Complete
+            && offer.coverage == OfferCoverage::WithinGrants
             && let Some(proxy) = self.proxies.get_mut(&id)
         {
             proxy.snapshot = Some(CachedSnapshot { generation, resources: resources.clone() });
@@ -62,7 +63,7 @@
         ProxySnapshot { resources, grants: offer.status }
     }
 
-    /// The snapshot of all proxies with these grants.
+    /// Returns the snapshot that all proxies with these grants share.
     fn shared_snapshot(&mut self, grants: ProxyGrants) -> Arc<ResourceSnapshot> {
         if let Some(snapshot) = self.snapshots.get(&grants) {
             return snapshot.clone();
@@ -75,16 +76,16 @@
         snapshot
     }
 
-    /// What can be offered to a proxy now of each cluster.
+    /// Returns the grants of all clusters that can be offered to a proxy now.
     fn offer(&self, now: Micros, id: ProxyId, proxy: &ProxyState) -> GrantOffer {
         let mut offer = GrantOffer::new(proxy.zone);
         self.offer_replica_sets(&mut offer, id, proxy);
         self.offer_constrained_nodes(&mut offer, now, id, proxy);
         let constrained = &offer.grants.constrained;
-        let is_left = |name: &&String| {
+        let is_leaving = |name: &&String| {
             is_node_cluster(name) && !constrained.iter().any(|grant| grant.cluster == **name)
         };
-        offer.grants.leaving = proxy.session.sent_clusters().filter(is_left).cloned().collect();
+        offer.grants.leaving = proxy.session.sent_clusters().filter(is_leaving).cloned().collect();
         offer
     }
 
@@ -94,8 +95,8 @@
             let capacity = replica_set.capacity;
             let target = self.target(cluster, capacity, ScarcityRule::OneForEach, &proxy.name);
             let request = CapacityRequest { target, capacity, minimum: 1 };
-            let max_requests = self.ledger.offer(cluster, id, request);
-            offer.add(target, max_requests, self.ledger.granted(cluster, id));
+            let max_requests = self.capacity_ledger.offer(cluster, id, request);
+            offer.add(target, max_requests, self.capacity_ledger.granted(cluster, id));
             offer.grants.replica_sets.push(max_requests);
         }
     }
@@ -103,10 +104,10 @@
     fn offer_constrained_nodes(&self, offer: &mut GrantOffer, now: Micros, id: ProxyId, proxy: &ProxyState) {
         for (cluster, node) in &self.desired.constrained_nodes {
             let target = self.constrained_target(cluster, node.capacity, id, &proxy.name);
-            let granted = self.ledger.granted(cluster, id);
-            let max_requests = if self.may_raise(now, node.node) {
+            let granted = self.capacity_ledger.granted(cluster, id);
+            let max_requests = if self.may_raise_grants(now, node.node) {
                 let request = CapacityRequest { target, capacity: node.capacity, minimum: 0 };
-                self.ledger.offer(cluster, id, request)
+                self.capacity_ledger.offer(cluster, id, request)
             } else {
                 granted.min(target)
             };
@@ -118,27 +119,28 @@
         }
     }
 
-    /// Whether proxies may be granted more of a constrained node than they have. Guards against a node that
-    /// is warming up while proxies that have not come back yet still take it for warm.
-    fn may_raise(&self, now: Micros, node: NodeId) -> bool {
-        let waits_for_proxies =
+    /// Whether the grants of a constrained node may be raised. They may not while proxies that have not reconnected
+    /// after a restart, or have not acknowledged the node's drain, may still send a warming node the load of a warm
+    /// one.
+    fn may_raise_grants(&self, now: Micros, node: NodeId) -> bool {
+        let awaits_reconnects =
             self.earlier_versions == EarlierVersions::InUse && now < self.started_at + self.options.hold;
-        !waits_for_proxies && self.drains.is_complete(node)
+        !awaits_reconnects && self.drains.is_complete(node)
     }
 
-    /// A proxy's fair share of a constrained node. Where there is less than one request for each proxy, the shares
-    /// are drawn by hash and may add up to more than the capacity. They are then granted only as far as the
-    /// capacity goes; if it has fallen since, the last proxies that have a share lose it.
+    /// Returns a proxy's fair share of a constrained node. If the capacity is less than one request per proxy, the
+    /// proxies that get one are chosen by hash, and their shares may add up to more than the capacity. Such shares
+    /// are granted up to the capacity only; if it decreases later, the proxies with the highest IDs lose their grants.
     pub(super) fn constrained_target(
         &self, cluster: &str, capacity: u32, id: ProxyId, proxy_name: &str,
     ) -> u32 {
         let rule = ScarcityRule::OneForSome;
         let share = self.target(cluster, capacity, rule, proxy_name);
-        // Only one request each can be drawn, and only where more is granted than the capacity is one taken back.
-        if share != 1 || self.ledger.total(cluster) <= capacity as u64 {
+        // Proxies chosen by hash have a share of 1, and a grant is revoked only if the total exceeds the capacity.
+        if share != 1 || self.capacity_ledger.total(cluster) <= capacity as u64 {
             return share;
         }
-        let earlier = self.ledger.grants(cluster).take_while(|&(other, _)| other < id);
+        let earlier = self.capacity_ledger.grants(cluster).take_while(|&(other, _)| other < id);
         let kept = earlier.filter_map(|(other, granted)| {
             let name = &self.proxies.get(&other)?.name;
             Some(granted.min(self.target(cluster, capacity, rule, name)))
@@ -146,7 +148,7 @@
         share.min(capacity.saturating_sub(kept.sum()))
     }
 
-    /// A proxy's fair share of a cluster.
+    /// Returns a proxy's fair share of a cluster.
     pub(super) fn target(
         &self, cluster: &str, capacity: u32, scarcity: ScarcityRule, proxy_name: &str,
     ) -> u32 {
@@ -155,24 +157,24 @@
 }
 
 impl GrantOffer {
-    /// Nothing is offered yet.
+    /// An offer without grants.
     fn new(zone: usize) -> GrantOffer {
         let (replica_sets, constrained, leaving) = (Vec::new(), Vec::new(), Vec::new());
         GrantOffer {
             grants: ProxyGrants { zone, replica_sets, constrained, leaving },
             status: GrantStatus::Full,
-            record: LedgerRecord::Complete,
+            coverage: OfferCoverage::WithinGrants,
         }
     }
 
-    /// Notes what is offered of one cluster, in relation to the proxy's fair share and to what it was
-    /// granted.
+    /// Compares the requests offered of one cluster with the proxy's fair share and its current grant, and updates the
+    /// status of the whole offer.
     fn add(&mut self, target: u32, offered: u32, granted: u32) {
         if offered < target {
             self.status = GrantStatus::Partial;
         }
         if offered > granted {
-            self.record = LedgerRecord::Incomplete;
+            self.coverage = OfferCoverage::ExceedsGrants;
         }
     }
 }
--- a/crates/control-plane/src/control_plane/stream.rs
+++ b/crates/control-plane/src/control_plane/stream.rs
@@ -1,4 +1,4 @@
-//! Streams: they are opened, identified as those of a proxy by their first message, and closed.
+//! Lifecycle of streams: opening, identification of the proxy by the first message, and closing.
 
 use super::proxy_state::{GrantStatus, ProxyConnection, ProxyState, StreamState};
 use super::stream_error::MAX_NODE_ID_LENGTH;
@@ -7,11 +7,11 @@
 use crate::session::{DiscoverySession, ProtocolVariant};
 use balancer::Micros;
 
-/// Streams that each proxy may have on average: one for discovery, one for load reports.
+/// Streams per proxy for which the limit on open streams allows: one for discovery and one for load reports.
 const STREAMS_PER_PROXY: usize = 2;
 
 impl ControlPlane {
-    /// A stream was opened.
+    /// Registers a stream that a client has opened. Closes it if too many streams are open.
     pub fn stream_opened(
         &mut self, now: Micros, stream: StreamId, service: Service, authorized_names: AuthorizedNames,
     ) {
@@ -22,7 +22,7 @@
         self.metrics.streams.set(self.streams.len() as i64);
     }
 
-    /// A stream was closed.
+    /// Removes a stream that has been closed, and marks its proxy as disconnected.
     pub fn stream_closed(&mut self, now: Micros, stream: StreamId) {
         let Some(closed) = self.streams.remove(&stream) else { return };
         self.metrics.streams.set(self.streams.len() as i64);
@@ -33,18 +33,18 @@
         }
     }
 
-    /// Ends a stream.
+    /// Closes a stream with an error status.
     pub(super) fn close_stream(&mut self, now: Micros, stream: StreamId, error: StreamError) {
         let proxy = self.streams.get(&stream).and_then(|stream| stream.proxy);
         let name = proxy.and_then(|proxy| self.proxies.get(&proxy)).map_or("", |proxy| &proxy.name);
-        tracing::info!(stream = stream.0, proxy = name, %error, "stream ended");
+        tracing::info!(stream = stream.0, proxy = name, %error, "stream closed by the control plane");
         self.metrics.streams_closed.inc();
         self.stream_closed(now, stream);
         self.effects.push(Effect::CloseStream { stream, error });
     }
 
-    /// The proxy of a stream, which its first message names. Ends the stream if it names none that may be
-    /// served.
+    /// Returns the proxy of a stream, which `node` in the first message identifies. Closes the stream if `node` is
+    /// missing or the proxy may not be served.
     pub(super) fn identify_proxy(
         &mut self, now: Micros, stream: StreamId, node: Option<ProxyNode>,
     ) -> Option<ProxyId> {
@@ -74,7 +74,7 @@
         Some(proxy)
     }
 
-    /// Checks that the proxy that a stream names may be served.
+    /// Checks that the ID of a proxy is valid and authorized, and that the limit on proxies is not reached.
     fn authorize<'a>(
         &self, stream: &StreamState, node: Option<ProxyNode<'a>>,
     ) -> Result<ProxyNode<'a>, StreamError> {
@@ -86,14 +86,14 @@
         if !stream.authorized_names.contains(node.id) {
             return Err(StreamError::UnauthorizedNodeId);
         }
-        let is_known = self.proxy_ids.find(node.id).is_some();
-        if !is_known && self.proxies.len() >= self.options.max_proxies {
+        let is_registered = self.proxy_ids.find(node.id).is_some();
+        if !is_registered && self.proxies.len() >= self.options.max_proxies {
             return Err(StreamError::TooManyProxies);
         }
         Ok(node)
     }
 
-    /// Starts a discovery session, in place of the proxy's session before.
+    /// Starts a discovery session. Closes the proxy's previous discovery stream, if it is still open.
     fn start_session(
         &mut self, now: Micros, stream: StreamId, proxy: ProxyId, node: ProxyNode, variant: ProtocolVariant,
     ) {
@@ -106,7 +106,7 @@
         self.proxies.insert(proxy, state);
     }
 
-    /// Adds a proxy that only reports load, unless it is known.
+    /// Adds a proxy that has opened only a load reporting stream, unless the proxy exists already.
     fn add_reporting_proxy(&mut self, now: Micros, proxy: ProxyId, node: ProxyNode) {
         if !self.proxies.contains_key(&proxy) {
             let session = DiscoverySession::new(ProtocolVariant::Delta, None);
--- a/crates/control-plane/src/control_plane/stream_error.rs
+++ b/crates/control-plane/src/control_plane/stream_error.rs
@@ -1,57 +1,57 @@
-//! Why the control plane ends a stream.
+//! Errors with which the control plane closes a stream.
 
 use crate::session::RequestError;
 use tonic::Code;
 
-/// The longest id of a proxy, in bytes.
+/// Maximum length of a proxy ID, in bytes.
 pub(super) const MAX_NODE_ID_LENGTH: usize = 256;
 
-/// The reason for which a stream is ended. Its text is the message of the stream's gRPC status.
+/// Reason for which the control plane closes a stream. The text is sent as the message of the gRPC status.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
-    /// The limit on streams is reached.
+    /// The limit on open streams is reached.
     #[error("too many streams are open")]
     TooManyStreams,
-    /// The limit on proxies is reached.
+    /// The limit on proxies is reached, and the proxy is not among those already registered.
     #[error("too many proxies")]
     TooManyProxies,
-    /// The first message does not say which proxy sends it.
+    /// The first message has no `node.id`.
     #[error("node.id: the first message names none")]
     MissingNodeId,
-    /// The proxy's id is too long.
+    /// The proxy's ID exceeds the maximum length.
     #[error("node.id: {length} bytes, more than {MAX_NODE_ID_LENGTH}")]
     NodeIdTooLong {
-        /// Its length in bytes.
+        /// Length of the ID in bytes.
         length: usize,
     },
-    /// The connection's certificate does not name the proxy's id.
+    /// The client's certificate does not contain the proxy's ID.
     #[error("node.id: the certificate does not name it")]
     UnauthorizedNodeId,
-    /// The proxy opened another discovery stream.
+    /// The proxy opened a newer discovery stream.
     #[error("a newer stream of the same proxy")]
     Replaced,
-    /// The request names a resource type that is not served.
+    /// The request has the type URL of an unsupported resource type.
     #[error("type_url: '{type_url}' is not served")]
     UnknownResourceType {
-        /// The start of the type URL, escaped.
+        /// The type URL, truncated and escaped.
         type_url: String,
     },
-    /// The request cannot be served.
+    /// The request is invalid for the session.
     #[error(transparent)]
     InvalidRequest(#[from] RequestError),
-    /// The load report has too many entries.
+    /// The load report has more entries than a report may have.
     #[error("cluster_stats: more entries than data nodes can be")]
     TooManyLoadReportEntries,
-    /// The proxy sent no message after opening the stream.
+    /// The proxy did not send the first message in time.
     #[error("nothing was said on it")]
     NoFirstMessage,
-    /// The proxy did not answer a response in time.
+    /// The proxy did not acknowledge or reject a response in time.
     #[error("a response was not answered in time")]
     AcknowledgementTimeout,
 }
 
 impl StreamError {
-    /// The code of the stream's gRPC status.
+    /// Returns the code of the gRPC status with which the stream is closed.
     pub fn code(&self) -> Code {
         match self {
             StreamError::TooManyStreams | StreamError::TooManyProxies => Code::ResourceExhausted,
--- a/crates/control-plane/src/drain_tracker.rs
+++ b/crates/control-plane/src/drain_tracker.rs
@@ -1,7 +1,7 @@
-//! The drain tracker: nodes that are to get no new work, and the proxies that may still send it.
+//! The drain tracker: nodes that were removed from clusters, and the proxies that may still send them new requests.
 //!
-//! A drain is complete once each proxy has acknowledged endpoints without the node. A node that came back
-//! after a crash gets work again only then.
+//! A drain is complete once each of these proxies has acknowledged endpoints without the node. The grants of a node
+//! that restarted after a crash are raised only then.
 
 use crate::ids::ProxyId;
 use crate::resource::ResourceType;
@@ -9,31 +9,33 @@
 use balancer::{Micros, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A node that was taken out of clusters.
+/// The removal of a node from clusters.
 #[derive(Clone, Debug)]
 pub(crate) struct Drain {
     pub started_at: Micros,
-    /// The generation of the desired state that first left the node out.
+    /// The first generation of the desired state without the node in these clusters.
     pub generation: u64,
-    /// The clusters out of which it was taken.
+    /// Names of the clusters from which the node was removed.
     pub clusters: Vec<String>,
 }
 
+/// A drain that some proxy has not acknowledged.
 #[derive(Debug)]
 struct PendingDrain {
     drain: Drain,
-    /// The proxies that may still act on a version with the node.
+    /// The proxies that may still use endpoints that contain the node.
     waiting_for: BTreeSet<ProxyId>,
 }
 
-/// The drains that some proxy has not acknowledged.
+/// The pending drains by node.
 #[derive(Debug, Default)]
 pub(crate) struct DrainTracker {
     pending: BTreeMap<NodeId, PendingDrain>,
 }
 
 impl DrainTracker {
-    /// Starts to track a drain; `proxies` may act on endpoints with the node.
+    /// Starts to track a drain. `proxies` are those that may use endpoints that contain the node; if there are
+    /// none, the drain is complete.
     pub fn start(&mut self, node: NodeId, drain: Drain, proxies: impl Iterator<Item = ProxyId>) {
         let waiting_for: BTreeSet<ProxyId> = proxies.collect();
         if !waiting_for.is_empty() {
@@ -41,29 +43,31 @@
         }
     }
 
-    /// Stops to track a drain, since the node gets new work again.
+    /// Stops tracking the drain of a node that may get new requests again.
     pub fn cancel(&mut self, node: NodeId) {
         self.pending.remove(&node);
     }
 
-    /// Whether no proxy acts on endpoints from before the last drain of a node.
+    /// Whether a node has no pending drain.
     pub fn is_complete(&self, node: NodeId) -> bool {
         !self.pending.contains_key(&node)
     }
 
-    /// Whether a proxy has yet to acknowledge a drain.
-    pub fn waits_for(&self, proxy: ProxyId) -> bool {
+    /// Whether a proxy has not acknowledged some pending drain.
+    pub fn is_waiting_for(&self, proxy: ProxyId) -> bool {
         self.pending.values().any(|pending| pending.waiting_for.contains(&proxy))
     }
 
-    /// Notes what a proxy has acknowledged. Returns the time since the start of each drain that the proxy has
-    /// acknowledged by that.
-    pub fn acknowledged(&mut self, now: Micros, proxy: ProxyId, session: &DiscoverySession) -> Vec<Micros> {
+    /// Updates the pending drains with the endpoints that a proxy has acknowledged. Returns, for each drain that the
+    /// proxy has acknowledged by now, the time since the drain started.
+    pub fn record_acknowledgements(
+        &mut self, now: Micros, proxy: ProxyId, session: &DiscoverySession,
+    ) -> Vec<Micros> {
         let mut durations = Vec::new();
         self.pending.retain(|_, pending| {
             let drain = &pending.drain;
-            let applied = |cluster: &String| has_applied(session, cluster, drain.generation);
-            if pending.waiting_for.contains(&proxy) && drain.clusters.iter().all(applied) {
+            let has_applied_drain = |cluster: &String| has_applied(session, cluster, drain.generation);
+            if pending.waiting_for.contains(&proxy) && drain.clusters.iter().all(has_applied_drain) {
                 pending.waiting_for.remove(&proxy);
                 durations.push(now - drain.started_at);
             }
@@ -72,23 +76,23 @@
         durations
     }
 
-    /// Waits for a proxy no longer.
-    pub fn forget(&mut self, proxy: ProxyId) {
+    /// Removes a proxy from all drains. Drains that were pending only for this proxy are complete.
+    pub fn remove_proxy(&mut self, proxy: ProxyId) {
         self.pending.retain(|_, pending| {
             pending.waiting_for.remove(&proxy);
             !pending.waiting_for.is_empty()
         });
     }
 
-    /// The number of pairs of a node and a proxy that has not acknowledged its drain, of drains up to
-    /// `started_by`.
-    pub fn unacknowledged(&self, started_by: Micros) -> usize {
+    /// Returns the number of pairs of a node and a proxy that has not acknowledged the node's drain, counting only
+    /// drains that started at or before `started_by`.
+    pub fn unacknowledged_count(&self, started_by: Micros) -> usize {
         let pending = self.pending.values().filter(|pending| pending.drain.started_at <= started_by);
         pending.map(|pending| pending.waiting_for.len()).sum()
     }
 }
 
-/// Whether a proxy acts on endpoints of this generation or a later one, or on none.
+/// Whether a proxy has acknowledged endpoints of this generation or a later one, or has no endpoints of the cluster.
 fn has_applied(session: &DiscoverySession, cluster: &str, generation: u64) -> bool {
     match session.acknowledged_generation(ResourceType::Endpoints, cluster) {
         Some(acknowledged) => acknowledged >= generation,
--- a/crates/control-plane/src/fair_share/tests.rs
+++ b/crates/control-plane/src/fair_share/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the division among proxies.
+//! Tests of the division of capacity among proxies.
 
 use super::*;
 
--- a/crates/control-plane/src/load_reports.rs
+++ b/crates/control-plane/src/load_reports.rs
@@ -12,7 +12,7 @@
 use std::ops::RangeInclusive;
 
 /// Entries that one report may have.
-pub(crate) const MAX_ENTRIES: usize = 20_000;
+pub(crate) const MAX_REPORT_ENTRIES: usize = 20_000;
 /// The largest believable count.
 const MAX_COUNT: u64 = 1_000_000_000;
 /// The believable intervals of a report.
