--- a/crates/control-plane/src/capacity_ledger.rs
+++ b/crates/control-plane/src/capacity_ledger.rs
@@ -22,7 +22,7 @@
     pub target: u32,
     /// The capacity of the cluster, in concurrent requests.
     pub capacity: u32,
-    /// The least number of concurrent requests offered for a higher `target`, even if no capacity is free.
+    /// Lower bound of an offer that raises the grant; applies even if no capacity is free.
     pub minimum: u32,
 }
 
--- a/crates/control-plane/src/control_plane/stream.rs
+++ b/crates/control-plane/src/control_plane/stream.rs
@@ -7,7 +7,7 @@
 use crate::session::{DiscoverySession, ProtocolVariant};
 use balancer::Micros;
 
-/// Streams per proxy for which the limit on open streams allows: one for discovery and one for load reports.
+/// Open streams allowed per proxy on average: one for discovery and one for load reports.
 const STREAMS_PER_PROXY: usize = 2;
 
 impl ControlPlane {
--- a/crates/control-plane/src/desired_state.rs
+++ b/crates/control-plane/src/desired_state.rs
@@ -1,9 +1,8 @@
-//! The desired state: what all proxies together should do, as plain values. It says which nodes hold which
-//! shards, how healthy they are, how many requests may be in flight at each, and how much of each zone's work
-//! stays in it.
+//! The desired state: the configuration of all proxies together, as plain values. It contains the nodes that hold each
+//! group of shards, their health and capacity, and the percentage of each zone's traffic that stays in the zone.
 //!
-//! What the balancer says is rounded to steps, so that the desired state changes when something did and not
-//! with every sample.
+//! Capacities and percentages from the balancer are rounded down to steps, so that small variations from sample to
+//! sample do not change the desired state.
 
 use crate::endpoint_table::{EndpointTable, EndpointView};
 use crate::fair_share::{proxy_divisor, round_down};
@@ -12,12 +11,12 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Percentages are rounded down to multiples of this.
+/// Percentages are rounded down to multiples of this value.
 const PERCENT_STEP: u32 = 10;
-/// The prefix of the cluster of a single node.
+/// Prefix of the name of a single-node cluster.
 const NODE_CLUSTER_PREFIX: &str = "node-";
 
-/// The health status that a proxy is given of a node.
+/// The health status of a node that is sent to proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MemberHealth {
     Healthy,
@@ -32,71 +31,72 @@
     pub address: SocketAddr,
     pub zone: usize,
     pub health: MemberHealth,
-    /// Shard requests that all routers and proxies together may have in flight at the node.
+    /// Shard requests that all routers and proxies together may have in flight at the node, rounded down to a step; 0
+    /// unless the node is healthy.
     pub capacity: u32,
 }
 
-/// The nodes that hold the same shards.
+/// The nodes that hold the same shards, without constrained nodes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct ReplicaSet {
     pub members: Vec<ReplicaSetMember>,
-    /// Requests that all proxies together may have in flight to the set.
+    /// Requests that all proxies together may have in flight to the replica set.
     pub capacity: u32,
-    /// How much of new work is to be rejected.
+    /// Percentage of new requests that proxies drop.
     pub drop_percent: u32,
-    /// By zone of the proxy, how much of its work the nodes of the same zone should take.
+    /// By zone of the proxy, the percentage of its requests that nodes of the same zone should take.
     pub local_percent: Vec<u32>,
 }
 
-/// A suspect or warming node, which may have only so much in flight; it gets a cluster of its own.
+/// A suspect or warming node. It gets a single-node cluster, so that the requests in flight at it can be limited.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ConstrainedNode {
     pub node: NodeId,
     pub address: SocketAddr,
     pub zone: usize,
-    /// The replica sets to which it belongs.
+    /// Indexes of the replica sets to which the node belongs.
     pub replica_sets: Vec<usize>,
     /// Requests that all proxies together may have in flight at the node.
     pub capacity: u32,
 }
 
-/// The proxies among which capacity is divided.
+/// Numbers of the proxies among which capacity is divided.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProxyCounts {
     pub total: u32,
     pub by_zone: Vec<u32>,
 }
 
-/// What all proxies together should do.
+/// The desired state of all proxies.
 #[derive(Debug, Default)]
 pub(crate) struct DesiredState {
-    /// Counts the desired states that differed from the one before; 0 before the first.
+    /// Incremented whenever the desired state changes; 0 before the first one.
     pub generation: u64,
     pub replica_sets: Vec<ReplicaSet>,
-    /// The names of the replica sets' clusters.
+    /// Names of the replica sets' clusters, in the order of `replica_sets`.
     pub cluster_names: Vec<String>,
-    /// By the name of the node's cluster.
+    /// Constrained nodes by the names of their clusters.
     pub constrained_nodes: BTreeMap<String, ConstrainedNode>,
     pub proxies: ProxyCounts,
 }
 
-/// The name of the cluster of a single node.
+/// Returns the name of the cluster of the single node with this ID.
 pub(crate) fn node_cluster_name(id: &str) -> String {
     format!("{NODE_CLUSTER_PREFIX}{id}")
 }
 
-/// Whether a cluster is that of a single node.
+/// Whether this is the name of a single-node cluster.
 pub(crate) fn is_node_cluster(name: &str) -> bool {
     name.starts_with(NODE_CLUSTER_PREFIX)
 }
 
-/// The name of the cluster of a replica set.
+/// Returns the name of the cluster of the replica set with this index.
 pub(crate) fn replica_set_cluster_name(replica_set: usize) -> String {
     format!("shards-{replica_set}")
 }
 
 impl DesiredState {
-    /// Derives the desired state from the nodes' health. Capacity is divided among `instances` control
+    /// Derives the desired state from the health of the nodes. Capacity is divided evenly among `instances` control
     /// planes.
     pub fn new(
         now: Micros, endpoints: &EndpointTable, site: &SiteSettings, proxies: ProxyCounts, instances: u32,
@@ -135,57 +135,60 @@
         }
     }
 
-    /// How much of a zone's work its own nodes take: all of it, unless that exceeds their share of the
-    /// capacity of all nodes. Otherwise nearby nodes would be overloaded because they are nearby.
+    /// Returns the percentage of a zone's requests that nodes of the same zone take: all of them, unless the zone's
+    /// share of all proxies exceeds its share of the total capacity. Without this limit, zones with few nodes would be
+    /// overloaded.
     fn local_percent(&self, zone: usize, members: &[ReplicaSetMember], total: u32) -> u32 {
         let local: u32 =
             members.iter().filter(|member| member.zone == zone).map(|member| member.capacity).sum();
         let zone_proxies = self.proxies.by_zone.get(zone).copied().unwrap_or(0).max(1);
-        let work_share = zone_proxies as f64 / self.proxies.total.max(1) as f64;
+        let proxy_share = zone_proxies as f64 / self.proxies.total.max(1) as f64;
         let capacity_share = local as f64 / total.max(1) as f64;
-        ((capacity_share / work_share).min(1.0) * 100.0) as u32 / PERCENT_STEP * PERCENT_STEP
+        ((capacity_share / proxy_share).min(1.0) * 100.0) as u32 / PERCENT_STEP * PERCENT_STEP
     }
 
-    /// Whether this and another desired state ask the same of proxies.
+    /// Whether the desired states differ at most in their generations and in numbers of proxies with the same divisor
+    /// of capacity.
     pub fn is_equivalent(&self, other: &DesiredState) -> bool {
         self.replica_sets == other.replica_sets
             && self.constrained_nodes == other.constrained_nodes
             && proxy_divisor(self.proxies.total) == proxy_divisor(other.proxies.total)
     }
 
-    /// The nodes that may be given new work, with the names of the clusters that contain them.
+    /// Returns the nodes that may get new requests, with the names of the clusters that contain them.
     pub fn nodes_in_use(&self) -> BTreeMap<NodeId, Vec<String>> {
-        let mut used: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
+        let mut in_use: BTreeMap<NodeId, Vec<String>> = BTreeMap::new();
         for (index, replica_set) in self.replica_sets.iter().enumerate() {
             for member in &replica_set.members {
                 if member.health == MemberHealth::Healthy {
-                    used.entry(member.node).or_default().push(replica_set_cluster_name(index));
+                    in_use.entry(member.node).or_default().push(replica_set_cluster_name(index));
                 }
             }
         }
         for (cluster, constrained) in &self.constrained_nodes {
-            used.entry(constrained.node).or_default().push(cluster.clone());
+            in_use.entry(constrained.node).or_default().push(cluster.clone());
         }
-        used
+        in_use
     }
 
-    /// The weight of a constrained node's cluster, relative to one shard request of its replica set. The
-    /// cluster goes to fewer proxies than there are, so each of them sends more to make up for the others;
-    /// but no proxy sends it more than a healthy node.
+    /// Returns the route weight of a constrained node's cluster. The weight of its replica set's cluster is the sum of
+    /// the members' capacities. If the node's capacity is less than one request per proxy, only some proxies have the
+    /// cluster, and the weight is scaled up to make up for the others. It is limited to the capacity of the largest
+    /// healthy node, so that no proxy sends the constrained node more than a healthy one.
     pub fn route_weight(&self, replica_set: &ReplicaSet, constrained: &ConstrainedNode) -> u32 {
-        let healthy = replica_set.members.iter().map(|member| member.capacity).max().unwrap_or(0);
+        let largest_capacity = replica_set.members.iter().map(|member| member.capacity).max().unwrap_or(0);
         let divisor = proxy_divisor(self.proxies.total);
         let scale = match constrained.capacity < divisor {
             true => divisor as f64 / constrained.capacity.max(1) as f64,
             false => 1.0,
         };
         let weight = (constrained.capacity as f64 * scale) as u32;
-        let bounded = if healthy > 0 { weight.min(healthy) } else { weight };
-        bounded.max(1)
+        let bounded_weight = if largest_capacity > 0 { weight.min(largest_capacity) } else { weight };
+        bounded_weight.max(1)
     }
 }
 
-/// The node as a member of its replica set, unless it is constrained or removed.
+/// Returns the node as a member of its replica set; `None` if it is constrained or removed.
 fn member(view: &EndpointView) -> Option<ReplicaSetMember> {
     let (health, capacity) = match view.health {
         EndpointHealth::Healthy { capacity } => (MemberHealth::Healthy, round_down(capacity as u32)),
@@ -198,7 +201,7 @@
     Some(ReplicaSetMember { node: view.node, address: view.address, zone: view.zone, health, capacity })
 }
 
-/// The node as one with a cluster of its own, if it is constrained.
+/// Returns the node as a constrained node; `None` unless it is suspect or warming up.
 fn constrained_node(view: &EndpointView, site: &SiteSettings, instances: u32) -> Option<ConstrainedNode> {
     let (EndpointHealth::Suspect { capacity } | EndpointHealth::WarmingUp { capacity, .. }) = view.health
     else {
--- a/crates/control-plane/src/desired_state/tests.rs
+++ b/crates/control-plane/src/desired_state/tests.rs
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_zone_keeps_its_work_unless_its_nodes_are_too_few() {
+fn a_zones_requests_stay_in_the_zone_up_to_its_share_of_capacity() {
     let proxies = ProxyCounts { total: 10, by_zone: vec![5, 3, 2] };
     let state = DesiredState { proxies, ..DesiredState::default() };
     let members = [member(0, 10), member(1, 10), member(1, 10), member(1, 10)];
--- a/crates/control-plane/src/drain_tracker.rs
+++ b/crates/control-plane/src/drain_tracker.rs
@@ -58,8 +58,8 @@
         self.pending.values().any(|pending| pending.waiting_for.contains(&proxy))
     }
 
-    /// Updates the pending drains with the endpoints that a proxy has acknowledged. Returns, for each drain that the
-    /// proxy has acknowledged by now, the time since the drain started.
+    /// Updates the pending drains with the endpoints that a proxy has acknowledged. Returns the time since the start
+    /// of each drain that the proxy has newly acknowledged.
     pub fn record_acknowledgements(
         &mut self, now: Micros, proxy: ProxyId, session: &DiscoverySession,
     ) -> Vec<Micros> {
--- a/crates/control-plane/src/endpoint_table.rs
+++ b/crates/control-plane/src/endpoint_table.rs
@@ -1,7 +1,6 @@
-//! The data nodes: the endpoint list as discovery tells it, and the balancer that says how healthy each node
-//! is.
+//! The endpoint table: the data nodes that discovery has listed, and the balancer that determines their health.
 //!
-//! The table decides nothing itself. The balancer runs here as it runs in a router.
+//! The balancer is the same as in a router; the table itself makes no decisions.
 
 use crate::site_settings::SiteSettings;
 use balancer::{
@@ -13,21 +12,21 @@
 use settings_schema::{EndpointEntry, IdInterner, NodeStart, StartTimes};
 use std::net::SocketAddr;
 
-/// Nodes that the table holds; entries beyond them are skipped.
+/// Maximum number of nodes in the table. Entries of further nodes are skipped and counted as unusable.
 const MAX_NODES: usize = 100_000;
 
-/// What a control plane without endpoints from discovery may hand out.
+/// Source of the nodes in the table; a later variant takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum EndpointSource {
-    /// No list has named a node yet.
+    /// No endpoint list has contained a usable entry yet.
     None,
-    /// The nodes come from the configuration.
+    /// The nodes come from the cached endpoints in the configuration.
     Cached,
-    /// The nodes come from discovery.
+    /// At least one node has come from discovery.
     Discovery,
 }
 
-/// Whether the balancer asked for a new watch of the endpoint list.
+/// Whether the balancer requested a new watch of the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) enum WatchRequest {
     #[default]
@@ -35,20 +34,20 @@
     Requested,
 }
 
-/// What the balancer requested while it took in an update or decided.
+/// Actions that the balancer requested during an endpoint update or a decision.
 #[derive(Debug, Default)]
 pub(crate) struct RequestedActions {
     pub watch: WatchRequest,
     pub log_lines: Vec<String>,
-    released: Vec<NodeId>,
+    released_nodes: Vec<NodeId>,
 }
 
-/// Queries are not sent here, so actions about them are ignored.
+/// The control plane routes no queries, so actions on queries and attempts are ignored.
 impl Actions for RequestedActions {
     fn send_attempt(&mut self, _shard_request: ShardRequestId, _node: NodeId, _timeout: Option<Micros>) {}
     fn complete_query(&mut self, _query: QueryId, _completion: Completion) {}
     fn release_node(&mut self, node: NodeId) {
-        self.released.push(node);
+        self.released_nodes.push(node);
     }
     fn watch_endpoints(&mut self, enabled: bool) {
         if enabled {
@@ -60,16 +59,17 @@
     }
 }
 
+/// The last entry of a node; the default for an identifier without a node.
 #[derive(Clone, Debug, Default)]
 struct EndpointRecord {
-    /// `None` if the entry's address cannot be read.
+    /// `None` if the address of the entry cannot be parsed.
     address: Option<SocketAddr>,
     zone: usize,
     replica_set: usize,
     start: Option<NodeStart>,
 }
 
-/// A listed node with an address, and how healthy it is.
+/// A node with a valid address, and its health.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointView<'a> {
     pub node: NodeId,
@@ -80,10 +80,11 @@
     pub health: EndpointHealth,
 }
 
-/// The listed data nodes.
+/// The data nodes that discovery or the configuration has listed.
 pub(crate) struct EndpointTable {
     balancer: Balancer,
     ids: IdInterner<String>,
+    /// By node ID.
     records: Vec<EndpointRecord>,
     source: EndpointSource,
     unusable_entries: u64,
@@ -91,7 +92,7 @@
 }
 
 impl EndpointTable {
-    /// An empty table.
+    /// Creates a table without nodes.
     pub fn new(config: &Config) -> EndpointTable {
         EndpointTable {
             balancer: Balancer::new(config.seed, config.settings.clone()),
@@ -103,14 +104,14 @@
         }
     }
 
-    /// Takes in an endpoint list in discovery's form, or the news that there is none.
+    /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed.
     pub fn update(
         &mut self, now: Micros, site: &SiteSettings, list: &Json, update: EndpointUpdate,
         actions: &mut RequestedActions,
     ) {
         self.balancer.endpoint_update_started(now, update);
         for entry in list["members"].as_array().map_or(&[][..], Vec::as_slice) {
-            match self.usable(entry) {
+            match self.parse_entry(entry) {
                 Some(entry) => self.update_entry(now, site, &entry, update),
                 None => self.unusable_entries += 1,
             }
@@ -121,10 +122,10 @@
         self.balancer.endpoint_update_finished(now, actions);
     }
 
-    /// The entry, if it can be read and there is place for its node.
-    fn usable<'a>(&self, entry: &'a Json) -> Option<EndpointEntry<'a>> {
-        let has_place = self.ids.count() < MAX_NODES;
-        EndpointEntry::parse(entry).filter(|entry| has_place || self.ids.find(entry.id).is_some())
+    /// Parses an entry. Returns `None` if the entry is invalid, or its node is new and the table is full.
+    fn parse_entry<'a>(&self, entry: &'a Json) -> Option<EndpointEntry<'a>> {
+        let has_room = self.ids.count() < MAX_NODES;
+        EndpointEntry::parse(entry).filter(|entry| has_room || self.ids.find(entry.id).is_some())
     }
 
     fn update_entry(
@@ -155,21 +156,21 @@
         self.source = self.source.max(source);
     }
 
-    /// Tells the balancer what proxies observed at a node.
+    /// Passes a load report on a node to the balancer.
     pub fn report_load(&mut self, now: Micros, node: NodeId, report: &LoadReport) {
         self.balancer.load_reported(now, node, report);
     }
 
-    /// Lets the balancer decide.
+    /// Runs a decision of the balancer and removes the nodes that it releases.
     pub fn decide(&mut self, now: Micros, actions: &mut RequestedActions) {
         self.balancer.decide(now, actions);
-        for node in std::mem::take(&mut actions.released) {
+        for node in std::mem::take(&mut actions.released_nodes) {
             self.ids.release(node.0);
             self.records[node.0] = EndpointRecord::default();
         }
     }
 
-    /// All listed nodes with an address, by id.
+    /// Returns all nodes with a valid address that are not removed, ordered by ID.
     pub fn views(&self, now: Micros) -> Vec<EndpointView<'_>> {
         let mut views: Vec<EndpointView> =
             (0..self.records.len()).filter_map(|index| self.view(now, NodeId(index))).collect();
@@ -186,33 +187,33 @@
         (health != EndpointHealth::Removed).then_some(view)
     }
 
-    /// The fraction of new queries for these nodes that a router would reject.
+    /// Returns the fraction (0 to 1) of new queries to these nodes that a router would shed.
     pub fn shed_fraction(&self, now: Micros, nodes: &[NodeId]) -> f64 {
         self.balancer.shed_fraction(now, nodes)
     }
 
-    /// The node at an address.
+    /// Returns the node with this address. Searches the table linearly.
     pub fn find(&self, address: &SocketAddr) -> Option<NodeId> {
         self.records.iter().position(|record| record.address.as_ref() == Some(address)).map(NodeId)
     }
 
-    /// All nodes with an address.
+    /// Returns all nodes with a valid address.
     pub fn addresses(&self) -> impl Iterator<Item = (SocketAddr, NodeId)> + '_ {
         let addresses = self.records.iter().enumerate();
         addresses.filter_map(|(index, record)| Some((record.address?, NodeId(index))))
     }
 
-    /// The number of nodes.
+    /// Returns the number of nodes, including those without a valid address.
     pub fn count(&self) -> usize {
         self.ids.count()
     }
 
-    /// Where the nodes come from.
+    /// Returns the source of the nodes.
     pub fn source(&self) -> EndpointSource {
         self.source
     }
 
-    /// The number of entries that could not be used so far.
+    /// Returns the number of entries so far that were skipped or had an invalid address.
     pub fn unusable_entries(&self) -> u64 {
         self.unusable_entries
     }
--- a/crates/control-plane/src/load_reports.rs
+++ b/crates/control-plane/src/load_reports.rs
@@ -1,9 +1,9 @@
-//! Load reports of proxies, pooled so that no proxy is believed against the others.
+//! Load reports of proxies, pooled by node so that no single proxy outweighs the others.
 //!
-//! Reports are evidence and not truth. Their counts are checked and bounded, and of each node a proxy counts
-//! for no more than the one that reports the second most requests. A single report is believed for want of
-//! another; against one proxy that saw the node answer it makes half, and the balancer ejects for more than
-//! half.
+//! Reports may be wrong. Entries with counts out of range are rejected, and the counts of a proxy for a node are scaled
+//! down to those of the proxy that reports the second most requests to this node. The report of a single proxy counts
+//! in full. Against one other proxy that reports successes, a proxy that reports only failures makes up at most half of
+//! the requests, and the balancer ejects a node only if more than half of them failed.
 
 use crate::ids::ProxyId;
 use balancer::{LoadReport, Micros, NodeId};
@@ -11,65 +11,65 @@
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
-/// Entries that one report may have.
+/// Maximum number of entries in one load report.
 pub(crate) const MAX_REPORT_ENTRIES: usize = 20_000;
-/// The largest believable count.
+/// Largest count that is accepted in an entry.
 const MAX_COUNT: u64 = 1_000_000_000;
-/// The believable intervals of a report.
-const INTERVALS: RangeInclusive<Micros> = 10_000..=3_600_000_000;
-/// Avoids a division by zero for a proxy that reports no ended requests.
+/// Intervals that are accepted in a load report.
+const ACCEPTED_INTERVALS: RangeInclusive<Micros> = 10_000..=3_600_000_000;
+/// Lower bound of a divisor; avoids a division by zero for a proxy that reports no ended requests.
 const MIN_ENDED: f64 = 1e-9;
 
-/// What a proxy reports of one endpoint, with the counts of an UpstreamEndpointStats.
+/// One entry of a load report: the counts of an `UpstreamEndpointStats` message for one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointLoad {
     /// The endpoint's address.
     pub address: SocketAddr,
-    /// `total_successful_requests`.
+    /// Requests that ended successfully: `total_successful_requests`.
     pub succeeded: u64,
-    /// `total_error_requests`.
+    /// Requests that ended with an error: `total_error_requests`.
     pub failed: u64,
-    /// `total_requests_in_progress`.
+    /// Requests in flight: `total_requests_in_progress`.
     pub in_progress: u64,
-    /// `total_issued_requests`.
+    /// Requests sent in the interval: `total_issued_requests`.
     pub issued: u64,
 }
 
-/// Why an entry of a load report is not believed.
+/// Reason for which an entry of a load report is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum LoadReportError {
-    #[error("a count is larger than {MAX_COUNT}")]
+    #[error("a request count is greater than {MAX_COUNT}")]
     CountTooLarge,
-    #[error("load_report_interval: under 10 ms or over an hour")]
+    #[error("load_report_interval is not between 10 ms and 1 h")]
     IntervalOutOfRange,
-    #[error("total_issued_requests: more than ended or are in progress")]
+    #[error("total_issued_requests is greater than the sum of ended requests and requests in progress")]
     TooManyIssued,
 }
 
-/// Requests to one node, as one proxy or the control plane itself observed them.
+/// Requests to one node, as observed by a proxy or by a probe of the control plane. Weighting makes counts fractional.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct LoadCounts {
     succeeded: f64,
     failed: f64,
     connect_failures: f64,
     in_progress: f64,
-    /// The latencies of all succeeded requests.
+    /// Sum of the latencies of all succeeded requests, in microseconds.
     total_latency: f64,
 }
 
 impl LoadCounts {
-    /// The counts of an endpoint over an interval. The mean latency follows from how many requests are in
-    /// progress and how many end (Little's law).
+    /// Validates an entry of a load report that covers `interval` and converts it. By Little's law, the requests in
+    /// progress times the interval are the sum of the latencies of the requests that end in the interval.
     pub fn checked(load: &EndpointLoad, interval: Micros) -> Result<LoadCounts, LoadReportError> {
         let EndpointLoad { succeeded, failed, in_progress, issued, .. } = *load;
         if [succeeded, failed, in_progress, issued].iter().any(|&count| count > MAX_COUNT) {
             return Err(LoadReportError::CountTooLarge);
         }
-        if !INTERVALS.contains(&interval) {
+        if !ACCEPTED_INTERVALS.contains(&interval) {
             return Err(LoadReportError::IntervalOutOfRange);
         }
-        // What ended in the interval may have been issued before it; what was issued in it has ended or is in
-        // progress.
+        // A request issued in the interval has ended or is in progress; one that ended in the interval may have been
+        // issued before it.
         if issued > succeeded + failed + in_progress {
             return Err(LoadReportError::TooManyIssued);
         }
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The counts of one connection attempt of the control plane.
+    /// Returns the counts for the result of one probe.
     fn probe(result: ProbeResult) -> LoadCounts {
         match result {
             ProbeResult::Reachable => LoadCounts { succeeded: 1.0, ..LoadCounts::default() },
@@ -94,7 +94,7 @@
         self.succeeded + self.failed + self.connect_failures
     }
 
-    /// Adds other counts; all but the requests in progress are weighted.
+    /// Adds other counts. All are multiplied by `weight` except the requests in progress.
     fn add(&mut self, other: &LoadCounts, weight: f64) {
         self.succeeded += weight * other.succeeded;
         self.failed += weight * other.failed;
@@ -116,66 +116,68 @@
     }
 }
 
-/// Whether a probe of a data node could connect.
+/// Result of a probe of a data node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
     /// The connection was established.
     Reachable,
-    /// It was refused, or not established in time.
+    /// The connection was refused or not established in time.
     Unreachable,
 }
 
-/// What was reported of each node since it was last taken.
+/// Reports on each node since reports were last taken.
 #[derive(Debug, Default)]
 pub(crate) struct LoadReports {
+    /// Sums of the counts that each proxy reported on a node.
     reported: BTreeMap<NodeId, BTreeMap<ProxyId, LoadCounts>>,
-    /// Results of the control plane's own probes.
+    /// Results of the control plane's probes. A newer result replaces an older one.
     probed: BTreeMap<NodeId, LoadCounts>,
 }
 
 impl LoadReports {
-    /// Adds what a proxy reports of a node.
+    /// Adds the counts that a proxy reports on a node.
     pub fn add(&mut self, proxy: ProxyId, node: NodeId, counts: &LoadCounts) {
         self.reported.entry(node).or_default().entry(proxy).or_default().add(counts, 1.0);
     }
 
-    /// Adds the result of a probe.
+    /// Records the result of a probe, in place of an earlier one.
     pub fn add_probe(&mut self, node: NodeId, result: ProbeResult) {
         self.probed.insert(node, LoadCounts::probe(result));
     }
 
-    /// Takes all reports since the last call, pooled by node.
+    /// Returns all reports since the last call, pooled by node and ordered by node ID.
     pub fn take(&mut self) -> Vec<(NodeId, LoadReport)> {
         let mut probed = std::mem::take(&mut self.probed);
         let mut pooled: Vec<(NodeId, LoadCounts)> = Vec::new();
         for (node, by_proxy) in std::mem::take(&mut self.reported) {
             pooled.push((node, pool(&by_proxy, probed.remove(&node))));
         }
-        // A probe counts where no proxy reports anything.
+        // The result of a probe stands for a node on which no proxy reports.
         pooled.extend(probed);
         pooled.sort_by_key(|(node, _)| *node);
         pooled.into_iter().map(|(node, counts)| (node, counts.into())).collect()
     }
 }
 
-/// Pools the reports of several proxies on one node.
+/// Pools the reports of all proxies on one node. A proxy with more ended requests or more requests in progress than all
+/// others is bounded to the second largest value.
 fn pool(by_proxy: &BTreeMap<ProxyId, LoadCounts>, probed: Option<LoadCounts>) -> LoadCounts {
-    let max_ended = second_largest(by_proxy.values().map(LoadCounts::ended));
-    let max_in_progress = second_largest(by_proxy.values().map(|counts| counts.in_progress));
+    let second_most_ended = second_largest(by_proxy.values().map(LoadCounts::ended));
+    let second_most_in_progress = second_largest(by_proxy.values().map(|counts| counts.in_progress));
     let mut pooled = LoadCounts::default();
     for counts in by_proxy.values() {
-        let bounded = LoadCounts { in_progress: counts.in_progress.min(max_in_progress), ..*counts };
-        pooled.add(&bounded, (max_ended / counts.ended().max(MIN_ENDED)).min(1.0));
+        let bounded = LoadCounts { in_progress: counts.in_progress.min(second_most_in_progress), ..*counts };
+        pooled.add(&bounded, (second_most_ended / counts.ended().max(MIN_ENDED)).min(1.0));
     }
-    // An unreachable node counts like the report of another proxy; a reachable one says nothing of its
-    // answers.
+    // A failed probe counts like the report of another proxy. A successful one is ignored, since it does not show
+    // whether the node answers requests.
     if let Some(probed) = probed.filter(|probed| probed.connect_failures > 0.0) {
-        pooled.add(&probed, max_ended.max(1.0));
+        pooled.add(&probed, second_most_ended.max(1.0));
     }
     pooled
 }
 
-/// The second largest of some values, or the only one.
+/// Returns the second largest value, the only one if there is one, or 0 if there is none.
 fn second_largest(values: impl Iterator<Item = f64>) -> f64 {
     let mut values: Vec<f64> = values.collect();
     values.sort_by(f64::total_cmp);
--- a/crates/control-plane/src/load_reports/tests.rs
+++ b/crates/control-plane/src/load_reports/tests.rs
@@ -22,24 +22,24 @@
 }
 
 #[test]
-fn one_proxy_is_no_majority_against_another_however_much_it_reports() {
+fn one_proxy_cannot_outweigh_another_however_much_it_reports() {
     let [first, second, third] = [0, 1, 2].map(ProxyId);
     let mut reports = LoadReports::default();
     reports.add(first, NODE, &ended(0, 1_000_000));
     reports.add(second, NODE, &ended(3, 0));
     assert_eq!(failed_share(&reports.take()[0].1), 0.5);
-    // Nor if it reports often, nor against several.
+    // The same holds if the proxy reports often, and against several proxies.
     for _ in 0..100 {
         reports.add(first, NODE, &ended(0, 1000));
     }
     reports.add(second, NODE, &ended(30, 0));
     reports.add(third, NODE, &ended(20, 0));
     assert!(failed_share(&reports.take()[0].1) <= 0.5);
-    // Nor does it fill a node by reporting that it has a billion requests in progress there.
+    // A proxy that reports a billion requests in progress cannot make a node appear fully loaded.
     reports.add(first, NODE, &checked([0, 0, 1_000_000_000, 0]));
     reports.add(second, NODE, &checked([9, 0, 2, 0]));
     assert_eq!(reports.take()[0].1.in_flight, 4.0);
-    // Two that see the node fail against one that does not are believed, and so is a single one.
+    // Failures outweigh successes if two of three proxies report them, or the only one that reports on a node.
     for proxy in [first, second] {
         reports.add(proxy, NODE, &ended(0, 9));
     }
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_unreachable_node_counts_like_a_report_and_a_reachable_one_does_not() {
+fn a_failed_probe_counts_like_a_report_and_a_successful_one_does_not() {
     let mut reports = LoadReports::default();
     reports.add(ProxyId(0), NodeId(1), &ended(0, 4));
     reports.add_probe(NodeId(1), ProbeResult::Reachable);
@@ -71,7 +71,7 @@
 
 #[test]
 fn the_mean_latency_follows_from_requests_in_progress_and_ended() {
-    // Four in progress and two that end a second: two seconds each.
+    // Four requests in progress and two that end per second: a mean latency of two seconds.
     let mut reports = LoadReports::default();
     reports.add(ProxyId(0), NodeId(0), &checked([2, 0, 4, 2]));
     assert_eq!(reports.take()[0].1.mean_latency, 2_000_000);
