--- a/crates/control-plane/src/session/mod.rs
+++ b/crates/control-plane/src/session/mod.rs
@@ -1,11 +1,13 @@
-//! One proxy's stream of the aggregated discovery service, state of the world or incremental: its
-//! subscriptions, what it was sent, acknowledged (ACK) and rejected (NACK), and what is to be pushed next.
+//! The session of one proxy on the aggregated discovery service (ADS), in the state-of-the-world or the
+//! incremental variant. It tracks subscriptions and the versions that were sent, acknowledged (ACK) and
+//! rejected (NACK), and selects the next responses.
 //!
-//! The session uses no socket and no clock. It follows the page "xDS REST and gRPC protocol", whose section
-//! titles stand in quotes.
+//! The session performs no I/O and reads no clock. It follows the "xDS REST and gRPC protocol" page of the
+//! Envoy documentation; comments quote the titles of its sections.
 //!
-//! A response of a type waits until the one before it is answered, so that a slow proxy gets the newest state
-//! and never a queue of history. Only endpoints without a drained node may overtake, up to a limit.
+//! A response is held back until the previous one of the same type is answered, so that a slow proxy gets
+//! the newest state and not a queue of outdated ones. Endpoint responses may be sent ahead of answers, up to a
+//! limit, while a drain is pending.
 
 mod push;
 mod request;
@@ -25,34 +27,36 @@
 /// The variant of the discovery protocol that a stream uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProtocolVariant {
-    /// Each response lists all resources of its type, or all that changed.
+    /// Each response of a type lists all subscribed resources (clusters, listeners) or the changed ones
+    /// (endpoints, routes).
     StateOfTheWorld,
-    /// Responses list changes and removals.
+    /// Incremental: responses list changed resources and the names of removed ones.
     Delta,
 }
 
-/// Whether a proxy came with resources of another control plane, or of this one before.
+/// Whether a proxy connected with resources that it received earlier, from this or another control plane.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SessionOrigin {
-    /// As far as is known, it has nothing yet.
+    /// The proxy has not named any version so far.
     New,
-    /// It named versions in its first requests.
+    /// The proxy named versions in its first requests.
     Resumed,
 }
 
-/// A proxy's discovery stream.
+/// The state of a proxy's discovery stream.
 #[derive(Debug)]
 pub(crate) struct DiscoverySession {
     variant: ProtocolVariant,
     origin: SessionOrigin,
     last_nonce: u64,
     subscriptions: [TypeSubscription; 4],
-    /// What the proxy had on its stream before, by type, for one that comes back with what it had then.
+    /// Versions that the proxy may have from its previous stream, by type. Used to resume a proxy that
+    /// reconnects with them.
     previous_versions: [BTreeMap<String, KnownVersion>; 4],
 }
 
 impl DiscoverySession {
-    /// A new stream of a proxy. `previous` is the session of its stream before.
+    /// Creates the session of a new stream. `previous` is the session of the proxy's previous stream, if any.
     pub fn new(variant: ProtocolVariant, previous: Option<DiscoverySession>) -> DiscoverySession {
         DiscoverySession {
             variant,
@@ -63,7 +67,7 @@
         }
     }
 
-    /// All versions that the proxy may have at the end of the session, by type.
+    /// Returns all versions that the proxy may have at the end of the session, by type.
     fn into_versions(self) -> [BTreeMap<String, KnownVersion>; 4] {
         let mut types = self.subscriptions.into_iter().zip(self.previous_versions);
         let versions = |(subscription, previous): (TypeSubscription, BTreeMap<String, KnownVersion>)| {
@@ -82,12 +86,12 @@
         &mut self.subscriptions[resource_type as usize]
     }
 
-    /// Whether the proxy came with versions that were handed out before.
+    /// Whether the proxy connected with versions that it received on an earlier stream.
     pub fn is_resumed(&self) -> bool {
         self.origin == SessionOrigin::Resumed
     }
 
-    /// Notes that the proxy came with versions that were handed out before.
+    /// Records that the proxy connected with versions that it received on an earlier stream.
     pub fn mark_resumed(&mut self) {
         self.origin = SessionOrigin::Resumed;
     }
@@ -97,13 +101,14 @@
         self.subscription(resource_type).is_requested()
     }
 
-    /// Whether the proxy had the resource on its stream before, and has not said on this one what it has.
+    /// Whether the proxy may still have the resource from its previous stream. False once it has requested the
+    /// type on this stream.
     pub fn had_before(&self, resource_type: ResourceType, name: &str) -> bool {
         !self.has_requested(resource_type)
             && self.previous_versions[resource_type as usize].contains_key(name)
     }
 
-    /// When the oldest unanswered response was sent.
+    /// Time at which the oldest unanswered response was sent; `None` if all are answered.
     pub fn oldest_pending(&self) -> Option<Micros> {
         let oldest = self.subscriptions.iter().filter_map(|subscription| subscription.pending.front());
         oldest.map(|response| response.sent_at).min()
@@ -116,20 +121,20 @@
         changes.any(|change| change.name == name)
     }
 
-    /// The clusters that the proxy was sent.
+    /// Names of the clusters that were sent to the proxy.
     pub fn sent_clusters(&self) -> impl Iterator<Item = &String> {
         self.subscription(ResourceType::Cluster).sent.keys()
     }
 
-    /// The generation of the version that the proxy is known to act on, for a resource that it has; 0 if
-    /// another control plane made it.
+    /// Generation of the resource version that the proxy acknowledged last; 0 if another control plane created
+    /// that version, `None` if the proxy has acknowledged none.
     pub fn acknowledged_generation(&self, resource_type: ResourceType, name: &str) -> Option<u64> {
         let known = self.subscription(resource_type).acknowledged.get(name)?;
         Some(known.resource.as_ref().map_or(0, |resource| resource.generation))
     }
 
-    /// The clusters in a version that the proxy may act on, with the most requests that it may have in flight
-    /// by any of these versions.
+    /// Clusters that the proxy may use, each with the maximum of `max_requests` over the acknowledged and the
+    /// unanswered versions, since the proxy may apply any of them.
     pub fn max_requests_in_force(&self) -> BTreeMap<String, u32> {
         let subscription = self.subscription(ResourceType::Cluster);
         let acknowledged = if subscription.is_requested() {
@@ -147,9 +152,9 @@
         max_requests
     }
 
-    /// Finds out what a proxy that came back has, if the version that it named for all resources of the type
-    /// is known.
-    fn resume_type(&mut self, resource_type: ResourceType, desired: &ResourceSnapshot) {
+    /// Matches the type version that a reconnecting proxy named against the desired and the previous versions.
+    /// On a match, the resources of that version count as sent and acknowledged; otherwise none do.
+    fn resolve_claimed_version(&mut self, resource_type: ResourceType, desired: &ResourceSnapshot) {
         let desired = desired.of_type(resource_type);
         if desired.is_empty() {
             return;
@@ -160,17 +165,17 @@
             desired.iter().map(|(name, resource)| (name.clone(), KnownVersion::of(resource))).collect();
         let candidates = [&current, &self.previous_versions[resource_type as usize]];
         let candidates = candidates.map(|versions| subscription.subscribed_of(versions));
-        let held = candidates.into_iter().find(|versions| type_version(versions) == claimed);
-        subscription.state = match held {
+        let matching = candidates.into_iter().find(|versions| type_version(versions) == claimed);
+        subscription.state = match matching {
             Some(_) => RequestState::Responded,
             None => RequestState::AwaitingResponse,
         };
-        subscription.acknowledged = held.unwrap_or_default();
+        subscription.acknowledged = matching.unwrap_or_default();
         subscription.sent = subscription.acknowledged.clone();
     }
 
-    /// Lets versions refer to the desired resources with the same content, so that they count as of the
-    /// newest generation.
+    /// Points endpoint versions to the desired resources with equal content, so that they count as of the newest
+    /// generation.
     fn refresh_endpoint_generations(&mut self, desired: &ResourceSnapshot) {
         let desired = desired.of_type(ResourceType::Endpoints);
         let endpoints = self.subscription_mut(ResourceType::Endpoints);
--- a/crates/control-plane/src/session/push.rs
+++ b/crates/control-plane/src/session/push.rs
@@ -1,25 +1,25 @@
-//! What is sent to a proxy next, in an order that leaves no route without endpoints.
+//! Selection of the next responses, in an order in which no route ever refers to a cluster without endpoints.
 
 use super::subscription::{
-    KnownVersion, PendingResponse, RequestState, ResourceChange, type_version, version_of_all,
+    KnownVersion, PendingResponse, RequestState, ResourceChange, combined_version, type_version,
 };
 use super::{DiscoverySession, ProtocolVariant, Response, ResponseKind};
 use crate::resource::{Resource, ResourceSnapshot, ResourceType, ResourcesByName};
 use balancer::Micros;
 use std::sync::Arc;
 
-/// Responses of one type that may be unanswered at once while a drain is pending. With fewer, drains in quick
-/// succession waited for the answers of a slow proxy and were sent after their grace time.
+/// Maximum number of unanswered responses of one type while a drain is pending. With fewer, drains in quick
+/// succession waited for the answers of a slow proxy and were sent after their grace period.
 const MAX_PENDING_DURING_DRAIN: usize = 16;
-/// Responses of one type that may be unanswered at once otherwise.
+/// Maximum number of unanswered responses of one type at other times.
 const MAX_PENDING: usize = 1;
 
-/// Whether endpoints may overtake unanswered responses.
+/// Whether endpoints may be sent before earlier responses are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Urgency {
-    /// A response of a type waits until the one before is answered.
+    /// A response is held back until the previous one of its type is answered.
     Normal,
-    /// The proxy may still use a drained node, so endpoints are sent first and at once.
+    /// The proxy may still use a draining node, so endpoints are sent first and without waiting.
     DrainPending,
 }
 
@@ -27,11 +27,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Removal {
     Allowed,
-    /// The proxy may still have a route that refers to them.
+    /// The proxy may still have a route that refers to these resources.
     Deferred,
 }
 
-/// The content of a response.
+/// The content of a response, before it gets a nonce.
 struct ResponseContent {
     resources: Vec<Arc<Resource>>,
     removed: Vec<String>,
@@ -40,12 +40,12 @@
 }
 
 impl DiscoverySession {
-    /// Returns what is to be sent now: clusters, endpoints, listeners, then routes once all clusters to which
-    /// they route were acknowledged. Clusters and endpoints to which nothing routes any longer are removed
-    /// after that.
+    /// Returns the responses to send now, in the order clusters, endpoints, listeners, routes. Routes are held
+    /// back until the clusters that they refer to are acknowledged; clusters and endpoints that no route
+    /// refers to any longer are removed after the new routes are acknowledged.
     pub fn push(&mut self, now: Micros, desired: &ResourceSnapshot, urgency: Urgency) -> Vec<Response> {
         for resource_type in ResourceType::ALL {
-            self.resume_type(resource_type, desired);
+            self.resolve_claimed_version(resource_type, desired);
         }
         self.refresh_endpoint_generations(desired);
         let mut responses = Vec::new();
@@ -80,7 +80,8 @@
         responses
     }
 
-    /// Renews the lease of the endpoints that the proxy has ("TTL").
+    /// Returns a response that renews the lease of the acknowledged endpoints ("TTL"); `None` if there are none
+    /// or an endpoint response is unanswered.
     pub fn heartbeat(&mut self, now: Micros) -> Option<Response> {
         let resource_type = ResourceType::Endpoints;
         let endpoints = self.subscription(resource_type);
@@ -108,11 +109,11 @@
         self.last_nonce
     }
 
-    /// Whether the proxy acts on the routes that it should have, or on none.
+    /// Whether the proxy has acknowledged the desired routes, or has none.
     fn routes_are_current(&self, desired: &ResourceSnapshot) -> bool {
         let routes = self.subscription(ResourceType::Route);
         if !routes.is_requested() {
-            // A proxy that comes back has routes, though it has not said so yet.
+            // A reconnecting proxy has routes from before, although it has not requested them on this stream yet.
             return !self.is_resumed() && self.previous_versions[ResourceType::Route as usize].is_empty();
         }
         let is_current = |(name, resource): (&String, &Arc<Resource>)| {
@@ -122,8 +123,9 @@
         routes.pending.is_empty() && desired.of_type(ResourceType::Route).iter().all(is_current)
     }
 
-    /// Guards against a route to a cluster without endpoints. Only a proxy that takes all clusters needs
-    /// this: one that asks for clusters by name does so after its routes, and holds these back itself.
+    /// Whether all clusters that the desired routes refer to have acknowledged endpoints. Applies only to
+    /// proxies with a wildcard subscription to clusters: a proxy that subscribes to clusters by name does so
+    /// after it received the routes, and delays these until the clusters are ready.
     fn may_push_routes(&self, desired: &ResourceSnapshot) -> bool {
         let clusters = self.subscription(ResourceType::Cluster);
         let endpoints = self.subscription(ResourceType::Endpoints);
@@ -143,7 +145,8 @@
         let changed = clusters.changed(desired.of_type(ResourceType::Cluster));
         let changed: Vec<String> = changed.map(|cluster| cluster.name.clone()).collect();
         let response = self.next_response(now, ResourceType::Cluster, desired, removal, MAX_PENDING)?;
-        // A proxy warms a changed cluster until it gets its endpoints after it, so they are sent again.
+        // A proxy keeps a changed cluster in the warming state until it receives endpoints after the cluster, so
+        // the endpoints are sent again.
         let endpoints = self.subscription_mut(ResourceType::Endpoints);
         for name in &changed {
             endpoints.sent.remove(name);
@@ -151,7 +154,7 @@
         Some(response)
     }
 
-    /// The next response of one type, if there is anything to send and fewer than `max_pending` are
+    /// Returns the next response of one type; `None` if nothing changed or `max_pending` responses are
     /// unanswered.
     fn next_response(
         &mut self, now: Micros, resource_type: ResourceType, desired: &ResourceSnapshot, removal: Removal,
@@ -169,11 +172,13 @@
             }
             ProtocolVariant::StateOfTheWorld => self.changed_content(resource_type, desired),
         };
-        content.map(|content| self.send(now, resource_type, content))
+        content.map(|content| self.create_response(now, resource_type, content))
     }
 
-    /// Records the content as sent and makes it a response.
-    fn send(&mut self, now: Micros, resource_type: ResourceType, content: ResponseContent) -> Response {
+    /// Assigns a nonce to the content, records it as sent and returns it as a response.
+    fn create_response(
+        &mut self, now: Micros, resource_type: ResourceType, content: ResponseContent,
+    ) -> Response {
         let nonce = self.next_nonce();
         let ResponseContent { resources, removed, type_version } = content;
         let updates = resources.iter().map(|resource| ResourceChange {
@@ -191,20 +196,20 @@
         Response { resource_type, kind, nonce, version: type_version, resources, removed }
     }
 
-    /// Resources that were sent and are no longer desired. Endpoints stay as long as their cluster.
-    fn undesired(&self, resource_type: ResourceType, desired: &ResourcesByName) -> Vec<String> {
+    /// Names of resources that were sent and are no longer desired. Endpoints are kept as long as their cluster.
+    fn no_longer_desired(&self, resource_type: ResourceType, desired: &ResourcesByName) -> Vec<String> {
         let clusters = &self.subscription(ResourceType::Cluster).sent;
         let is_kept = |name: &String| resource_type == ResourceType::Endpoints && clusters.contains_key(name);
         let sent = self.subscription(resource_type).sent.keys();
         sent.filter(|name| !desired.contains_key(*name) && !is_kept(name)).cloned().collect()
     }
 
-    /// The content of an incremental response: changes and removals.
+    /// The content of an incremental response: changed resources, and names that were removed or do not exist.
     fn delta_content(
         &mut self, resource_type: ResourceType, desired: &ResourcesByName, removal: Removal,
     ) -> Option<ResponseContent> {
         let mut removed = match removal {
-            Removal::Allowed => self.undesired(resource_type, desired),
+            Removal::Allowed => self.no_longer_desired(resource_type, desired),
             Removal::Deferred => Vec::new(),
         };
         let subscription = self.subscription_mut(resource_type);
@@ -224,7 +229,7 @@
         Some(ResponseContent { resources, removed, type_version: String::new() })
     }
 
-    /// The content of a state-of-the-world response of a type whose responses list all resources.
+    /// The content of a state-of-the-world response for a type whose responses list all resources.
     fn full_state_content(
         &mut self, resource_type: ResourceType, desired: &ResourcesByName, removal: Removal,
     ) -> Option<ResponseContent> {
@@ -233,11 +238,11 @@
         let mut all: ResourcesByName =
             subscribed.map(|(name, resource)| (name.clone(), resource.clone())).collect();
         if removal == Removal::Deferred {
-            for resource in self.held_resources(resource_type) {
+            for resource in self.retained_resources(resource_type) {
                 all.entry(resource.name.clone()).or_insert(resource);
             }
         }
-        let type_version = version_of_all(all.iter().map(|(name, r)| (name, r.version.as_str())));
+        let type_version = combined_version(all.iter().map(|(name, r)| (name, r.version.as_str())));
         let sent_version = super::subscription::type_version(&subscription.sent);
         let has_responded = subscription.state == RequestState::Responded;
         let is_current = has_responded && sent_version == type_version;
@@ -248,17 +253,17 @@
         Some(ResponseContent { resources: all.into_values().collect(), removed, type_version })
     }
 
-    /// Resources that the proxy was sent; before it has acknowledged any, also those of its stream before.
-    fn held_resources(&self, resource_type: ResourceType) -> Vec<Arc<Resource>> {
+    /// Resources that were sent to the proxy and, until it acknowledges one, those from its previous stream.
+    fn retained_resources(&self, resource_type: ResourceType) -> Vec<Arc<Resource>> {
         let subscription = self.subscription(resource_type);
         let previous = self.previous_versions[resource_type as usize].iter();
         let previous = previous.filter(|_| subscription.acknowledged.is_empty());
-        let held = subscription.sent.iter().chain(previous);
-        let subscribed = held.filter(|(name, _)| subscription.is_subscribed(name));
+        let retained = subscription.sent.iter().chain(previous);
+        let subscribed = retained.filter(|(name, _)| subscription.is_subscribed(name));
         subscribed.filter_map(|(_, known)| known.resource.clone()).collect()
     }
 
-    /// The content of a state-of-the-world response of a type whose responses list only changes.
+    /// The content of a state-of-the-world response for a type whose responses list only changed resources.
     fn changed_content(
         &self, resource_type: ResourceType, desired: &ResourcesByName,
     ) -> Option<ResponseContent> {
--- a/crates/control-plane/src/session/request.rs
+++ b/crates/control-plane/src/session/request.rs
@@ -1,27 +1,27 @@
-//! What a proxy requests on a discovery stream, and how it answers responses.
+//! Handling of discovery requests: changes of subscriptions, and answers (ACK or NACK) to responses.
 
 use super::DiscoverySession;
 use super::subscription::{KnownVersion, TypeSubscription};
 use crate::resource::{ResourceSnapshot, ResourceType};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Names that a proxy may subscribe to for each type.
+/// Maximum number of resource names of one type that a proxy may subscribe to.
 const MAX_NAMES: usize = 4096;
-/// How long each of them may be, in bytes.
+/// Maximum length of a resource name, in bytes.
 const MAX_NAME_LENGTH: usize = 512;
-/// The name that stands for all resources of a type.
+/// The resource name that subscribes to all resources of a type.
 const WILDCARD: &str = "*";
 
 /// A request of the state-of-the-world variant, with the fields of a DiscoveryRequest.
 #[derive(Clone, Debug, Default)]
 pub struct StateOfTheWorldRequest {
-    /// `type_url`.
+    /// `type_url`: the resource type that the request is about.
     pub type_url: String,
-    /// `version_info`.
+    /// `version_info`: the type version that the proxy applied last; empty if none.
     pub version: String,
-    /// `response_nonce`.
+    /// `response_nonce`: the nonce of the answered response; empty in the first request of a type.
     pub nonce: String,
-    /// `resource_names`.
+    /// `resource_names`: the names subscribed to, in place of all earlier ones.
     pub resource_names: Vec<String>,
     /// The message of `error_detail`, which makes the request a NACK.
     pub rejection: Option<String>,
@@ -30,64 +30,64 @@
 /// A request of the incremental variant, with the fields of a DeltaDiscoveryRequest.
 #[derive(Clone, Debug, Default)]
 pub struct DeltaRequest {
-    /// `type_url`.
+    /// `type_url`: the resource type that the request is about.
     pub type_url: String,
-    /// `resource_names_subscribe`.
+    /// `resource_names_subscribe`: names to add to the subscription.
     pub subscribe: Vec<String>,
-    /// `resource_names_unsubscribe`.
+    /// `resource_names_unsubscribe`: names to remove from the subscription.
     pub unsubscribe: Vec<String>,
-    /// `initial_resource_versions`.
+    /// `initial_resource_versions`: versions that the proxy has from an earlier stream, by resource name.
     pub initial_versions: BTreeMap<String, String>,
-    /// `response_nonce`.
+    /// `response_nonce`: the nonce of the answered response; empty if the request answers none.
     pub nonce: String,
     /// The message of `error_detail`, which makes the request a NACK.
     pub rejection: Option<String>,
 }
 
-/// What a request said of an earlier response.
+/// The answer to an earlier response that a request carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Acknowledgement {
-    /// Nothing: it opens a type, or changes a subscription.
+    /// The request answers no response: it starts or changes a subscription.
     Absent,
     /// The proxy accepted the response.
     Ack,
     /// The proxy rejected the response.
     Nack,
-    /// It names a response that is not waiting for an answer.
+    /// The nonce belongs to no unanswered response.
     StaleNonce,
 }
 
-/// Why a request cannot be served.
+/// Reason for which a request is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The first request lists more versions than a proxy may subscribe to.
-    #[error("{count} initial versions are more than {MAX_NAMES}")]
+    #[error("initial_resource_versions: {count} entries, at most {MAX_NAMES} are allowed")]
     TooManyInitialVersions {
-        /// How many it lists.
+        /// Number of versions in the request.
         count: usize,
     },
     /// The proxy has subscribed to too many resources of a type.
-    #[error("{count} resource names are more than {MAX_NAMES}")]
+    #[error("resource_names_subscribe: subscribed to {count} names, at most {MAX_NAMES} are allowed")]
     TooManySubscriptions {
-        /// To how many it has subscribed.
+        /// Number of names in the subscription after the request.
         count: usize,
     },
     /// The request names too many resources.
-    #[error("resource_names: {count} are more than {MAX_NAMES}")]
+    #[error("resource_names: {count} names, at most {MAX_NAMES} are allowed")]
     TooManyNames {
-        /// How many it names.
+        /// Number of names in the request.
         count: usize,
     },
     /// The request contains a name that is too long.
-    #[error("resource_names: one of {length} bytes, more than {MAX_NAME_LENGTH}")]
+    #[error("resource_names: a name has {length} bytes, at most {MAX_NAME_LENGTH} are allowed")]
     NameTooLong {
-        /// The length of the first such name.
+        /// Length of the first such name, in bytes.
         length: usize,
     },
 }
 
 impl DiscoverySession {
-    /// Takes in a state-of-the-world request ("ACK/NACK and resource type instance version", "How the client
+    /// Handles a state-of-the-world request ("ACK/NACK and resource type instance version", "How the client
     /// specifies what resources to return").
     pub fn state_of_the_world_request(
         &mut self, resource_type: ResourceType, request: StateOfTheWorldRequest, desired: &ResourceSnapshot,
@@ -96,7 +96,8 @@
         let is_first = subscription.mark_requested();
         let mut acknowledgement = Acknowledgement::Absent;
         if !is_first && !request.nonce.is_empty() {
-            acknowledgement = subscription.record_answer(&request.nonce, request.rejection.as_deref());
+            acknowledgement =
+                subscription.record_acknowledgement(&request.nonce, request.rejection.as_deref());
             // "Resource updates": an answer to an older response does not change the subscription.
             if request.nonce.parse() != Ok(subscription.last_nonce) {
                 return Ok(acknowledgement);
@@ -107,12 +108,12 @@
         if is_first {
             subscription.claimed_version = Some(request.version).filter(|version| !version.is_empty());
         }
-        self.resume_type(resource_type, desired);
+        self.resolve_claimed_version(resource_type, desired);
         self.subscription_mut(resource_type).drop_unsubscribed();
         Ok(acknowledgement)
     }
 
-    /// Takes in an incremental request ("Incremental xDS").
+    /// Handles an incremental request ("Incremental xDS").
     pub fn delta_request(
         &mut self, resource_type: ResourceType, request: DeltaRequest, desired: &ResourceSnapshot,
     ) -> Result<Acknowledgement, RequestError> {
@@ -122,7 +123,7 @@
         let acknowledgement = if request.nonce.is_empty() || is_first {
             Acknowledgement::Absent
         } else {
-            subscription.record_answer(&request.nonce, request.rejection.as_deref())
+            subscription.record_acknowledgement(&request.nonce, request.rejection.as_deref())
         };
         check_names(&request.subscribe)?;
         check_names(&request.unsubscribe)?;
@@ -135,10 +136,10 @@
             subscription.set_initial_versions(resource_type, request.initial_versions, desired, previous);
         }
         for name in request.subscribe {
-            // "the server must still provide those resources": a later request for a resource that the proxy
-            // has asks for it again.
+            // "the server must still provide those resources": subscribing again to a resource that the proxy
+            // already has requests it once more.
             if !is_first && name != WILDCARD {
-                subscription.send_again(&name);
+                subscription.allow_resend(&name);
             }
             subscription.subscribe(resource_type, name);
         }
@@ -156,7 +157,7 @@
 }
 
 impl TypeSubscription {
-    /// Subscribes to these names and no others.
+    /// Replaces the subscription with these names.
     fn replace_names(&mut self, resource_type: ResourceType, names: Vec<String>) {
         self.has_named_resources |= !names.is_empty();
         self.names = BTreeSet::from_iter(names);
@@ -164,7 +165,7 @@
         self.wildcard = resource_type.is_full_state() && (!self.has_named_resources || names_wildcard);
     }
 
-    /// Takes the versions with which a proxy came as what it has.
+    /// Records the versions that a reconnecting proxy names as sent and acknowledged.
     fn set_initial_versions(
         &mut self, resource_type: ResourceType, versions: BTreeMap<String, String>,
         desired: &ResourceSnapshot, previous: &BTreeMap<String, KnownVersion>,
@@ -187,9 +188,9 @@
         }
     }
 
-    /// Lets a resource be sent again, even if the proxy has it, has rejected it, or was told that it does not
-    /// exist.
-    fn send_again(&mut self, name: &str) {
+    /// Makes a resource eligible to be sent again, even if the proxy has it, rejected it, or was notified that
+    /// it does not exist.
+    fn allow_resend(&mut self, name: &str) {
         self.sent.remove(name);
         self.rejected.remove(name);
         self.reported_missing.remove(name);
--- a/crates/control-plane/src/session/response.rs
+++ b/crates/control-plane/src/session/response.rs
@@ -3,28 +3,28 @@
 use crate::resource::{Resource, ResourceType};
 use std::sync::Arc;
 
-/// Whether a response changes what the proxy has.
+/// Whether a response changes resources or only renews their lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseKind {
-    /// It carries resources that are new or changed.
+    /// The response carries new, changed or removed resources.
     Update,
-    /// It renews the lease of what the proxy has; the resources are sent without their content ("TTL").
+    /// The response renews the lease of resources that the proxy has, without their content ("TTL").
     Heartbeat,
 }
 
-/// A response as it is sent.
+/// A discovery response, independent of the protocol variant.
 #[derive(Debug, PartialEq)]
 pub struct Response {
-    /// The type of all resources.
+    /// The type of all resources in the response.
     pub resource_type: ResourceType,
-    /// Whether the response changes what the proxy has.
+    /// Whether the response changes resources or only renews their lease.
     pub kind: ResponseKind,
-    /// The nonce by which the proxy answers it.
+    /// The nonce that the proxy repeats in its ACK or NACK.
     pub nonce: String,
     /// The version of all resources of the type together; empty in the incremental variant.
     pub version: String,
-    /// The resources that it carries.
+    /// New and changed resources; in a heartbeat, those whose lease is renewed.
     pub resources: Vec<Arc<Resource>>,
-    /// The names of resources that the proxy should remove.
+    /// Names of resources that the proxy should remove. The state-of-the-world variant does not send them.
     pub removed: Vec<String>,
 }
--- a/crates/control-plane/src/session/subscription.rs
+++ b/crates/control-plane/src/session/subscription.rs
@@ -1,4 +1,4 @@
-//! One resource type on a stream: the subscription, and the versions that were sent, acknowledged and
+//! The subscription to one resource type on a stream, with the versions that were sent, acknowledged and
 //! rejected.
 
 use super::request::Acknowledgement;
@@ -11,12 +11,12 @@
 #[derive(Clone, Debug)]
 pub(super) struct KnownVersion {
     pub version: String,
-    /// The resource, if this control plane made it.
+    /// The resource with this version; `None` if another control plane created it.
     pub resource: Option<Arc<Resource>>,
 }
 
 impl KnownVersion {
-    /// The version of a resource.
+    /// Returns the version of a resource created by this control plane.
     pub fn of(resource: &Arc<Resource>) -> KnownVersion {
         KnownVersion { version: resource.version.clone(), resource: Some(resource.clone()) }
     }
@@ -35,20 +35,20 @@
 pub(super) struct PendingResponse {
     pub nonce: u64,
     pub sent_at: Micros,
-    /// The version of all resources of the type together.
+    /// The combined version of all resources of the type.
     pub type_version: String,
     pub changes: Vec<ResourceChange>,
 }
 
-/// How far a type is in use on a stream.
+/// Whether the proxy has requested a type on a stream and has received a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum RequestState {
     /// The proxy has not requested the type.
     #[default]
     NotRequested,
-    /// It has, and is not known to have had a response.
+    /// The proxy has requested the type and is not known to have received a response.
     AwaitingResponse,
-    /// It had a response, on this stream or a stream before.
+    /// The proxy has received a response, on this stream or an earlier one.
     Responded,
 }
 
@@ -56,37 +56,40 @@
 #[derive(Debug, Default)]
 pub(super) struct TypeSubscription {
     pub state: RequestState,
-    /// Whether the proxy wants all resources of the type.
+    /// Whether the subscription covers all resources of the type.
     pub wildcard: bool,
-    /// Whether the proxy has named resources. From then on, naming none means none and not all.
+    /// Whether the proxy has ever named resources of the type. From then on an empty list of names subscribes to
+    /// none; before, it is a wildcard subscription.
     pub has_named_resources: bool,
     pub names: BTreeSet<String>,
-    /// What the proxy has once it has acknowledged all that was sent.
+    /// Versions that the proxy has once it has acknowledged all pending responses, by resource name.
     pub sent: BTreeMap<String, KnownVersion>,
+    /// Versions that the proxy has acknowledged, by resource name.
     pub acknowledged: BTreeMap<String, KnownVersion>,
-    /// Versions that the proxy rejected, by name of the resource.
+    /// Versions that the proxy rejected, by resource name.
     pub rejected: BTreeMap<String, String>,
-    /// The version of all resources of the type that the proxy rejected last.
+    /// The combined version of the type in the response that the proxy rejected last.
     pub rejected_type_version: Option<String>,
-    /// Resources that were rejected together with others. Each is sent alone once, so that one invalid
-    /// resource does not hold up the rest.
+    /// Resources that were rejected in a response with several. Each is then sent in a response of its own, so
+    /// that one invalid resource does not block the others.
     pub send_alone: BTreeSet<String>,
-    /// Names that the proxy was told not to exist.
+    /// Subscribed names that were reported to the proxy as removed because no such resource exists.
     pub reported_missing: BTreeSet<String>,
+    /// Unanswered responses, oldest first.
     pub pending: VecDeque<PendingResponse>,
     pub last_nonce: u64,
-    /// The version of all resources of the type with which the proxy came, until it is known what it
-    /// contains.
+    /// The combined version of the type that a reconnecting proxy named in its first request, until it is matched
+    /// against known versions.
     pub claimed_version: Option<String>,
 }
 
-/// The version of a set of resources.
+/// Returns the combined version of a set of known versions.
 pub(super) fn type_version(versions: &BTreeMap<String, KnownVersion>) -> String {
-    version_of_all(versions.iter().map(|(name, known)| (name, known.version.as_str())))
+    combined_version(versions.iter().map(|(name, known)| (name, known.version.as_str())))
 }
 
-/// The version of a set of resources, by their names and versions.
-pub(super) fn version_of_all<'a>(versions: impl Iterator<Item = (&'a String, &'a str)>) -> String {
+/// Returns the combined version of a set of resources: a hash of their names and versions.
+pub(super) fn combined_version<'a>(versions: impl Iterator<Item = (&'a String, &'a str)>) -> String {
     let mut text = String::new();
     for (name, version) in versions {
         text.extend([name, " ", version, "\n"]);
@@ -100,7 +103,7 @@
         self.state != RequestState::NotRequested
     }
 
-    /// Notes a request; whether it is the first of the type.
+    /// Records a request. Returns whether it is the first of its type on the stream.
     pub fn mark_requested(&mut self) -> bool {
         let is_first = !self.is_requested();
         if is_first {
@@ -109,18 +112,18 @@
         is_first
     }
 
-    /// Whether the proxy wants the resource.
+    /// Whether the subscription covers the resource.
     pub fn is_subscribed(&self, name: &str) -> bool {
         self.wildcard || self.names.contains(name)
     }
 
-    /// Those of some versions that the proxy wants.
+    /// Returns the versions whose resources the subscription covers.
     pub fn subscribed_of(&self, versions: &BTreeMap<String, KnownVersion>) -> BTreeMap<String, KnownVersion> {
         let subscribed = versions.iter().filter(|(name, _)| self.is_subscribed(name));
         subscribed.map(|(name, known)| (name.clone(), known.clone())).collect()
     }
 
-    /// Resources that the proxy wants and does not have, without versions that it rejected.
+    /// Returns the subscribed resources whose desired version was neither sent nor rejected.
     pub fn changed<'a>(&'a self, desired: &'a ResourcesByName) -> impl Iterator<Item = &'a Arc<Resource>> {
         desired.values().filter(|resource| {
             let sent = self.sent.get(&resource.name);
@@ -130,8 +133,8 @@
         })
     }
 
-    /// The changed resources for the next response: all that may be sent together, else one of those that are
-    /// sent alone.
+    /// Returns the changed resources for the next response: all that may share a response or, if there are none,
+    /// one that needs a response of its own.
     pub fn next_changed(&self, desired: &ResourcesByName) -> Vec<Arc<Resource>> {
         let changed = self.changed(desired).cloned();
         let (alone, together): (Vec<_>, Vec<_>) =
@@ -139,7 +142,7 @@
         if together.is_empty() { alone.into_iter().take(1).collect() } else { together }
     }
 
-    /// Drops what belongs to resources that the proxy no longer wants.
+    /// Discards the versions of resources that the subscription no longer covers.
     pub fn drop_unsubscribed(&mut self) {
         let (wildcard, names) = (self.wildcard, &self.names);
         let is_subscribed = |name: &String| wildcard || names.contains(name);
@@ -150,8 +153,8 @@
         self.reported_missing.retain(|name| names.contains(name));
     }
 
-    /// Records the answer to the response with this nonce.
-    pub fn record_answer(&mut self, nonce: &str, rejection: Option<&str>) -> Acknowledgement {
+    /// Records an ACK or, with `rejection`, a NACK of the response with this nonce.
+    pub fn record_acknowledgement(&mut self, nonce: &str, rejection: Option<&str>) -> Acknowledgement {
         let nonce: u64 = nonce.parse().unwrap_or(0);
         let position = self.pending.iter().position(|response| response.nonce == nonce);
         let Some(response) = position.and_then(|position| self.pending.remove(position)) else {
@@ -179,7 +182,8 @@
         }
     }
 
-    /// Puts back what was in force before. A removal counts as done: there is nothing else to offer.
+    /// Reverts the changes of a rejected response. Removals are not reverted, since there is no other version to
+    /// send.
     fn reject(&mut self, response: PendingResponse) {
         self.rejected_type_version = Some(response.type_version);
         let is_alone = response.changes.len() == 1;
@@ -195,7 +199,7 @@
         }
     }
 
-    /// Takes the acknowledged version as the last that was sent, if that was the rejected one.
+    /// Resets the last sent version to the acknowledged one, if the rejected version was sent last.
     fn restore_acknowledged(&mut self, name: &str, rejected: &KnownVersion) {
         if self.sent.get(name).is_none_or(|sent| sent.version != rejected.version) {
             return;
@@ -206,7 +210,7 @@
         }
     }
 
-    /// Records a response that is sent.
+    /// Records a response as sent and unanswered.
     pub fn record_sent(&mut self, response: PendingResponse) {
         for change in &response.changes {
             match &change.version {
