--- a/crates/control-plane/src/discovery_watch.rs
+++ b/crates/control-plane/src/discovery_watch.rs
@@ -1,5 +1,5 @@
-//! The watch of discovery: one request that returns the endpoint list, then each change of it, until the
-//! connection ends.
+//! The client side of a discovery watch: a single request whose response contains the endpoint list and then each
+//! change of it, one per line, until the connection closes.
 
 use balancer::EndpointUpdate;
 use bytes::Bytes;
@@ -15,26 +15,26 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// The interval at which discovery sends at least an empty line.
+/// Maximum interval between lines from discovery, which sends an empty line if nothing changed.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How long discovery may be silent.
+/// Time without data from discovery after which the watch is ended.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(2 * KEEP_ALIVE_INTERVAL.as_secs());
-/// The longest line that is read.
+/// Maximum length of a line, in bytes.
 const MAX_LINE_LENGTH: usize = 64 << 20;
 
-/// An endpoint list in discovery's form, and how it is to be taken in.
+/// An endpoint list in the JSON format of discovery, and the kind of update that it is.
 #[derive(Debug)]
 pub(crate) struct EndpointListUpdate {
     pub list: Json,
     pub update: EndpointUpdate,
 }
 
-/// Why a watch ended.
+/// Reason for which a watch ended.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchError {
-    #[error("it ended")]
+    #[error("discovery ended the response")]
     Ended,
-    #[error("nothing was received in time")]
+    #[error("no data received within {SILENCE_TIMEOUT:?}")]
     Silent,
     #[error("connection failed: {0}")]
     Connect(#[from] std::io::Error),
@@ -42,20 +42,20 @@
     Http(#[from] hyper::Error),
     #[error("invalid request: {0}")]
     InvalidRequest(#[from] http::Error),
-    #[error("the answer's status is {0}")]
+    #[error("expected status 200 OK, received {0}")]
     UnexpectedStatus(StatusCode),
-    #[error("a line of over {MAX_LINE_LENGTH} bytes")]
+    #[error("line longer than {MAX_LINE_LENGTH} bytes")]
     LineTooLong,
-    #[error("a line is not JSON: {0}")]
+    #[error("line is not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    #[error("complete: it is missing")]
+    #[error("complete: missing or not a boolean")]
     MissingCompleteness,
-    #[error("the control plane ends")]
+    #[error("the control plane is shutting down")]
     ReceiverClosed,
 }
 
-/// Reads one watch until it ends. `revision` is updated to that of the last list; each list goes to
-/// `updates`.
+/// Opens a watch and sends its updates to `updates` until it ends; returns the reason. `revision` is the revision
+/// after which updates are requested, and is set to that of the last update received.
 pub(crate) async fn watch(
     address: SocketAddr, revision: &mut u64, updates: &Sender<EndpointListUpdate>,
 ) -> WatchError {
@@ -68,13 +68,13 @@
 async fn read_watch(
     address: SocketAddr, revision: &mut u64, updates: &Sender<EndpointListUpdate>,
 ) -> Result<(), WatchError> {
-    let (mut response, connection) = request(address, *revision).await?;
-    let mut lines = Lines::default();
+    let (mut response, connection) = open_watch(address, *revision).await?;
+    let mut buffer = LineBuffer::default();
     let mut position = LinePosition::First;
-    while let Some(frame) = in_time(response.frame()).await? {
+    while let Some(frame) = with_timeout(response.frame()).await? {
         let Ok(data) = frame?.into_data() else { continue };
-        for piece in data.split_inclusive(|&byte| byte == b'\n') {
-            let Some(line) = lines.push(piece)? else { continue };
+        for chunk in data.split_inclusive(|&byte| byte == b'\n') {
+            let Some(line) = buffer.push(chunk)? else { continue };
             if let Some(update) = parse_line(&line, position, revision)? {
                 updates.send(update).await.map_err(|_| WatchError::ReceiverClosed)?;
             }
@@ -85,37 +85,37 @@
     Ok(())
 }
 
-/// Opens a watch after a revision.
-async fn request(
+/// Requests a watch of the updates after a revision. Returns the response and the task of the connection.
+async fn open_watch(
     address: SocketAddr, revision: u64,
 ) -> Result<(Response<Incoming>, JoinHandle<hyper::Result<()>>), WatchError> {
-    let stream = in_time(TcpStream::connect(address)).await??;
+    let stream = with_timeout(TcpStream::connect(address)).await??;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let connection = tokio::spawn(connection);
     let request = Request::get(format!("/api/targets?watch=1&after={revision}"))
         .header("Host", address.to_string())
         .body(Empty::<Bytes>::new())?;
-    let response = in_time(sender.send_request(request)).await??;
+    let response = with_timeout(sender.send_request(request)).await??;
     match response.status() {
         StatusCode::OK => Ok((response, connection)),
         status => Err(WatchError::UnexpectedStatus(status)),
     }
 }
 
-async fn in_time<F: Future>(future: F) -> Result<F::Output, WatchError> {
+async fn with_timeout<F: Future>(future: F) -> Result<F::Output, WatchError> {
     timeout(SILENCE_TIMEOUT, future).await.map_err(|_| WatchError::Silent)
 }
 
-/// Puts lines together from pieces that end at line ends or in between.
+/// Assembles lines from chunks of the response body, each of which ends at or before the end of a line.
 #[derive(Default)]
-struct Lines {
+struct LineBuffer {
     partial: Vec<u8>,
 }
 
-impl Lines {
-    /// Adds a piece; returns the line if it is complete.
-    fn push(&mut self, piece: &[u8]) -> Result<Option<Vec<u8>>, WatchError> {
-        self.partial.extend_from_slice(piece);
+impl LineBuffer {
+    /// Appends a chunk. Returns the line once it is complete.
+    fn push(&mut self, chunk: &[u8]) -> Result<Option<Vec<u8>>, WatchError> {
+        self.partial.extend_from_slice(chunk);
         if self.partial.len() > MAX_LINE_LENGTH {
             return Err(WatchError::LineTooLong);
         }
@@ -130,8 +130,8 @@
     Later,
 }
 
-/// The update in a line. An empty line has none, unless it is the first: then nothing changed since the
-/// revision that was requested.
+/// Parses the update in a line. An empty line only keeps the connection alive, except as the first line: then
+/// nothing has changed since the requested revision.
 fn parse_line(
     line: &[u8], position: LinePosition, revision: &mut u64,
 ) -> Result<Option<EndpointListUpdate>, WatchError> {
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,21 +1,23 @@
-//! The control plane: hands the balancer's decisions to other proxies through xDS v3, and takes what they
-//! report as evidence.
+//! The control plane: distributes the balancer's decisions to third-party proxies through xDS v3, and feeds
+//! their load reports back to the balancer.
 //!
-//! 1. It watches discovery (`discovery_watch`) and passes each list to the balancer (`endpoint_table`), as a
-//!    router does.
-//! 2. The balancer says how healthy each node is; the desired state (`desired_state`) follows from that:
-//!    which nodes hold which shards, how much may be in flight where, what is to be rejected.
-//! 3. The desired state is encoded as resources (`encode`), each once for all proxies that get the same
-//!    (`resource_cache`).
-//! 4. A proxy opens a stream and subscribes (`session`). It is sent what it does not have, in an order that
-//!    leaves no gap.
-//! 5. The capacity of clusters is divided among proxies (`fair_share`, `capacity_ledger`): grants are lowered
-//!    before others are raised.
-//! 6. A node that is to get no new work is tracked until each proxy has acknowledged that (`drain_tracker`).
-//! 7. Load reports of proxies are checked, pooled (`load_reports`) and passed to the balancer.
+//! 1. The control plane watches discovery (`discovery_watch`) and passes each endpoint list to the balancer
+//!    (`endpoint_table`), as a router does.
+//! 2. From the endpoint health that the balancer computes follows the desired state (`desired_state`): the
+//!    nodes of each replica set, the number of requests that each may have in flight, and the fraction of
+//!    requests to shed.
+//! 3. The desired state is encoded as xDS resources (`encode`). Proxies that need the same resource share one
+//!    encoding (`resource_cache`).
+//! 4. A proxy opens a stream and subscribes to resources (`session`). Changed resources are pushed in an order
+//!    in which no route refers to a cluster without endpoints.
+//! 5. The capacity of clusters is divided among proxies (`fair_share`, `capacity_ledger`). A grant is raised
+//!    only after the proxies whose grants shrink have acknowledged that.
+//! 6. A drained node is tracked until every proxy has acknowledged that it sends the node no new requests
+//!    (`drain_tracker`).
+//! 7. Load reports of proxies are validated, aggregated (`load_reports`) and passed to the balancer.
 //!
-//! `control_plane` is the state machine that holds all of it; `server` and `codec` connect it to sockets,
-//! `tls` reads the certificates. `docs/control.md` says which designs were considered.
+//! `control_plane` is the state machine that combines these modules. `server` and `codec` connect it to
+//! sockets; `tls` loads the certificates. `docs/control.md` compares the designs that were considered.
 
 #![warn(missing_docs)]
 
--- a/crates/control-plane/src/server/clock.rs
+++ b/crates/control-plane/src/server/clock.rs
@@ -1,20 +1,21 @@
-//! The clock: the system's time at the start, plus monotonic time since.
+//! The clock of the server: the system time at start-up plus the monotonic time elapsed since, so that later
+//! changes of the system time have no effect.
 
 use balancer::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 pub(super) struct Clock {
-    started_at: Micros,
-    started: Instant,
+    start_time: Micros,
+    start_instant: Instant,
 }
 
 impl Clock {
     pub fn new() -> Clock {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started_at: since_epoch.as_micros() as Micros, started: Instant::now() }
+        Clock { start_time: since_epoch.as_micros() as Micros, start_instant: Instant::now() }
     }
 
     pub fn now(&self) -> Micros {
-        self.started_at + self.started.elapsed().as_micros() as Micros
+        self.start_time + self.start_instant.elapsed().as_micros() as Micros
     }
 }
--- a/crates/control-plane/src/server/connection.rs
+++ b/crates/control-plane/src/server/connection.rs
@@ -1,7 +1,7 @@
-//! Connections of proxies, with or without TLS.
+//! Connections from proxies, with or without TLS.
 
 use crate::control_plane::AuthorizedNames;
-use crate::tls::{Tls, dns_names};
+use crate::tls::{ReloadableTlsConfig, dns_names};
 use std::io;
 use std::pin::Pin;
 use std::sync::Arc;
@@ -15,15 +15,15 @@
 use tokio_rustls::server::TlsStream;
 use tonic::transport::server::Connected;
 
-/// How long a TLS handshake may take.
+/// Time limit for a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
-/// How often it is checked whether the certificates' files changed.
+/// Interval between checks of the certificate files for changes.
 const CERTIFICATE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// How long to wait after a connection could not be accepted, for want of file descriptors: others must close
-/// first.
+/// Delay before the next `accept` after one failed for lack of file descriptors, so that other connections can
+/// close first.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A connection.
+/// An accepted connection; with TLS, its handshake is complete.
 pub(super) enum Connection {
     Plain(TcpStream),
     Tls(Box<TlsStream<TcpStream>>),
@@ -32,7 +32,7 @@
 impl Connected for Connection {
     type ConnectInfo = AuthorizedNames;
 
-    /// The names in the certificate of the connection.
+    /// Returns the DNS names in the client certificate; any name is authorized without TLS.
     fn connect_info(&self) -> AuthorizedNames {
         match self {
             Connection::Plain(_) => AuthorizedNames::Any,
@@ -79,9 +79,11 @@
     }
 }
 
-/// Accepts connections until nothing receives them. With TLS each handshake has a task of its own.
+/// Accepts connections until the receiver of `connections` is dropped. Each TLS handshake runs in a task of its
+/// own, so that a slow client does not block others.
 pub(super) async fn accept(
-    listener: TcpListener, mut tls: Option<Tls>, connections: mpsc::Sender<io::Result<Connection>>,
+    listener: TcpListener, mut tls: Option<ReloadableTlsConfig>,
+    connections: mpsc::Sender<io::Result<Connection>>,
 ) {
     let mut certificate_check = tokio::time::interval(CERTIFICATE_CHECK_INTERVAL);
     loop {
@@ -89,7 +91,7 @@
             accepted = listener.accept() => accepted,
             _ = certificate_check.tick() => {
                 if let Some(tls) = &mut tls {
-                    tls.refresh();
+                    tls.reload_if_changed();
                 }
                 continue;
             }
@@ -98,7 +100,7 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Without the option the connection works as well, with a longer delay.
+        // A failure only increases the latency of small writes.
         let _ = stream.set_nodelay(true);
         if let Some(tls) = &tls {
             tokio::spawn(handshake(stream, tls.config(), connections.clone()));
--- a/crates/control-plane/src/server/discovery.rs
+++ b/crates/control-plane/src/server/discovery.rs
@@ -1,4 +1,4 @@
-//! Repeats the watch of discovery each time it is requested.
+//! The task that watches discovery on request.
 
 use crate::discovery_watch::{EndpointListUpdate, watch};
 use balancer::EndpointUpdate;
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, mpsc};
 
-/// Watches discovery each time `requested` is notified. A new address ends the watch at the old one and
-/// starts another from the first revision.
+/// Watches discovery each time `requested` is notified, and reports the end of a watch as a failed update. A new
+/// address ends the current watch and starts one there without a known revision, which returns the full list.
 pub(super) async fn watch_discovery(
     mut address: tokio::sync::watch::Receiver<SocketAddr>, requested: Arc<Notify>,
     updates: mpsc::Sender<EndpointListUpdate>,
--- a/crates/control-plane/src/server/driver.rs
+++ b/crates/control-plane/src/server/driver.rs
@@ -1,4 +1,4 @@
-//! The driver: it owns the state machine, passes it what happens, and carries out its effects.
+//! The driver: owns the state machine, passes events to it and executes the effects that it returns.
 
 use super::clock::Clock;
 use super::grpc::{OutgoingMessage, SHUTDOWN_MESSAGE, StreamHandle};
@@ -19,12 +19,12 @@
 use xds_api::pb::envoy::service::discovery::v3 as ads;
 use xds_api::pb::envoy::service::load_stats::v3 as lrs;
 
-/// Data nodes that are probed at once.
+/// Maximum number of data nodes that are probed at the same time.
 const MAX_CONCURRENT_PROBES: usize = 64;
 
-/// What other tasks tell the driver.
+/// An event that another task sends to the driver.
 pub(super) enum Event {
-    Opened {
+    StreamOpened {
         stream: StreamId,
         service: Service,
         authorized_names: AuthorizedNames,
@@ -33,9 +33,9 @@
     StateOfTheWorldRequest(StreamId, Box<ads::DiscoveryRequest>),
     DeltaRequest(StreamId, Box<ads::DeltaDiscoveryRequest>),
     LoadReport(StreamId, Box<lrs::LoadStatsRequest>),
-    Closed(StreamId),
-    Probed(SocketAddr, ProbeResult),
-    /// Someone asks for the metrics.
+    StreamClosed(StreamId),
+    ProbeFinished(SocketAddr, ProbeResult),
+    /// An HTTP client requests the metrics; the sender takes their text.
     MetricsRequested(oneshot::Sender<String>),
 }
 
@@ -43,6 +43,7 @@
     control_plane: ControlPlane,
     clock: Clock,
     streams: HashMap<StreamId, StreamHandle>,
+    /// Notified when a watch of discovery should start.
     watch_requested: Arc<Notify>,
     events: mpsc::Sender<Event>,
     probe_permits: Arc<Semaphore>,
@@ -50,7 +51,7 @@
 }
 
 impl Driver {
-    /// A driver whose own tasks send their results to `events`.
+    /// Creates a driver. The probes that it starts send their results to `events`.
     pub fn new(config: &Config, options: Options, events: mpsc::Sender<Event>) -> Driver {
         let clock = Clock::new();
         let control_plane = ControlPlane::new(clock.now(), config, options);
@@ -65,29 +66,29 @@
         }
     }
 
-    /// Notified when discovery is to be watched.
+    /// Returns the notification that requests a watch of discovery.
     pub fn watch_requested(&self) -> Arc<Notify> {
         self.watch_requested.clone()
     }
 
-    /// Takes in an endpoint list, or the news that there is none.
+    /// Handles an endpoint update, which may have failed.
     pub fn endpoint_update(&mut self, update: &EndpointListUpdate) {
         self.control_plane.endpoint_update(self.clock.now(), &update.list, update.update);
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
-    /// Does what is due by the clock.
+    /// Runs the periodic work of the state machine.
     pub fn tick(&mut self) {
         self.control_plane.tick(self.clock.now());
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
-    /// Takes in an event.
+    /// Handles an event from another task.
     pub fn handle(&mut self, event: Event) {
         let now = self.clock.now();
         let control_plane = &mut self.control_plane;
         match event {
-            Event::Opened { stream, service, authorized_names, handle } => {
+            Event::StreamOpened { stream, service, authorized_names, handle } => {
                 self.streams.insert(stream, handle);
                 control_plane.stream_opened(now, stream, service, authorized_names);
             }
@@ -105,18 +106,18 @@
                 let report = codec::load_report(&message);
                 control_plane.load_report(now, stream, codec::proxy_node(&message.node), report);
             }
-            Event::Closed(stream) => {
+            Event::StreamClosed(stream) => {
                 self.streams.remove(&stream);
                 control_plane.stream_closed(now, stream);
             }
-            Event::Probed(address, result) => control_plane.probe_finished(address, result),
-            // Who asked may be gone.
+            Event::ProbeFinished(address, result) => control_plane.probe_finished(address, result),
+            // The client may have closed its connection.
             Event::MetricsRequested(reply) => drop(reply.send(control_plane.metrics_text())),
         }
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
-    fn carry_out_effects(&mut self) {
+    fn execute_effects(&mut self) {
         for effect in self.control_plane.take_effects() {
             match effect {
                 Effect::Respond { stream, response } => {
@@ -130,14 +131,14 @@
         }
     }
 
-    /// Sends a message. A stream that the proxy does not read is ended, and its queue dropped.
+    /// Queues a message. If the queue is full because the proxy does not read, the stream is closed.
     fn send(&mut self, stream: StreamId, message: OutgoingMessage) {
         let Some(handle) = self.streams.get(&stream) else { return };
         if handle.send(message).is_ok() {
             return;
         }
         if let Some(handle) = self.streams.remove(&stream) {
-            handle.end(Status::deadline_exceeded("nothing was taken on it"));
+            handle.end(Status::deadline_exceeded("send queue full: the proxy does not read the stream"));
         }
         self.control_plane.stream_closed(self.clock.now(), stream);
     }
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Tries to connect to a data node, on a task of its own.
+    /// Starts a task that tries to connect to a data node and reports the result as an event.
     fn probe(&self, address: SocketAddr) {
         let (events, permits, timeout) =
             (self.events.clone(), self.probe_permits.clone(), self.probe_timeout);
@@ -160,11 +161,11 @@
                 Ok(Err(_)) | Err(_) => ProbeResult::Unreachable,
             };
             // The driver may have ended already.
-            let _ = events.send(Event::Probed(address, result)).await;
+            let _ = events.send(Event::ProbeFinished(address, result)).await;
         });
     }
 
-    /// Ends all streams. Proxies continue with what they have.
+    /// Closes all streams. Proxies continue with the resources that they have.
     pub fn shut_down(&mut self) {
         for (_, handle) in self.streams.drain() {
             handle.end(Status::unavailable(SHUTDOWN_MESSAGE));
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -1,37 +1,37 @@
-//! Why the control plane cannot serve.
+//! Errors that keep the control plane from serving.
 
 use crate::tls::TlsError;
 use std::io;
 use std::net::SocketAddr;
 use tokio::task::JoinError;
 
-/// Why the control plane does not start, or ended.
+/// Reason for which the control plane does not start, or stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The options name no address to listen on.
+    /// No listen address is configured.
     #[error("[control] listen: it is not set, so the control service is off")]
     NotEnabled,
-    /// The address cannot be listened on.
+    /// The listening socket cannot be opened.
     #[error("listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The system does not say on which address it listens.
-    #[error("{0}")]
+    /// The address of the listening socket cannot be determined.
+    #[error("local address of the listening socket: {0}")]
     LocalAddress(io::Error),
-    /// A file of mutual TLS cannot be used.
+    /// The certificate, key or authority file for mutual TLS cannot be used.
     #[error(transparent)]
     Tls(#[from] TlsError),
-    /// Signals cannot be received.
-    #[error("signals: {0}")]
+    /// A signal handler cannot be installed.
+    #[error("install signal handler: {0}")]
     Signals(io::Error),
-    /// The threads cannot be started.
-    #[error("event loop: {0}")]
+    /// The Tokio runtime cannot be created.
+    #[error("start Tokio runtime: {0}")]
     Runtime(io::Error),
     /// The main task panicked.
-    #[error("the service ended: {0}")]
+    #[error("main task of the control plane: {0}")]
     Task(JoinError),
 }
--- a/crates/control-plane/src/server/grpc.rs
+++ b/crates/control-plane/src/server/grpc.rs
@@ -1,5 +1,5 @@
-//! The gRPC services: each stream has a task that carries its messages to the driver, and a channel for what
-//! is sent back.
+//! The gRPC services. Each stream has a task that forwards received messages to the driver, and a channel that
+//! queues outgoing ones.
 
 use super::driver::Event;
 use crate::codec;
@@ -17,46 +17,49 @@
 use xds_api::pb::envoy::service::discovery::v3 as ads;
 use xds_api::pb::envoy::service::load_stats::v3 as lrs;
 
-/// Messages that may wait to be sent on one stream.
+/// Maximum number of messages queued for sending on one stream.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// The message of the status with which streams end when the control plane ends.
-pub(super) const SHUTDOWN_MESSAGE: &str = "the control service ends";
+/// The message of the gRPC status with which streams are closed on shutdown.
+pub(super) const SHUTDOWN_MESSAGE: &str = "the control plane is shutting down";
 
-/// A message to a proxy.
+/// A message to send to a proxy.
 pub(super) enum OutgoingMessage {
     Response(Response),
     LoadReportSettings,
+    /// Closes the stream with this status.
     End(Status),
 }
 
-/// The driver's end of a stream.
+/// The driver's handle of an open stream.
 pub(super) struct StreamHandle {
     messages: mpsc::Sender<OutgoingMessage>,
+    /// Notified to stop the task that receives from the stream.
     ended: Arc<Notify>,
 }
 
-/// The proxy does not read the stream, so no more messages can wait.
+/// Error of a stream whose queue of outgoing messages is full, since the proxy does not read.
 pub(super) struct QueueFull;
 
 impl StreamHandle {
-    /// Queues a message.
+    /// Queues a message without waiting.
     pub fn send(&self, message: OutgoingMessage) -> Result<(), QueueFull> {
         self.messages.try_send(message).map_err(|_| QueueFull)
     }
 
-    /// Ends the stream.
+    /// Closes the stream with a status.
     pub fn end(self, status: Status) {
-        // A proxy that does not read its stream gets no status either; its queue is dropped.
+        // If the queue is full, the proxy does not receive the status either.
         let _ = self.messages.try_send(OutgoingMessage::End(status));
         self.ended.notify_one();
     }
 }
 
-/// Both services.
+/// The implementation of the aggregated discovery and the load reporting service.
 #[derive(Clone)]
 pub(super) struct GrpcServices {
     events: mpsc::Sender<Event>,
     next_stream: Arc<AtomicU64>,
+    /// The lease of endpoints; 0 for none.
     lease: Micros,
     report_interval: Micros,
 }
@@ -68,7 +71,8 @@
         GrpcServices { events, next_stream: Arc::default(), lease, report_interval }
     }
 
-    /// Opens a stream; its messages go to the driver as the events that `event` makes of them.
+    /// Opens a stream and forwards its messages to the driver, as events that `event` creates. Returns the
+    /// outgoing messages.
     async fn open<M: Send + 'static>(
         &self, request: Request<Streaming<M>>, service: Service, event: fn(StreamId, Box<M>) -> Event,
     ) -> Result<ReceiverStream<OutgoingMessage>, Status> {
@@ -76,7 +80,7 @@
         let authorized_names = request.extensions().get::<AuthorizedNames>().cloned();
         let (messages, receiver) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let ended = Arc::new(Notify::new());
-        let opened = Event::Opened {
+        let opened = Event::StreamOpened {
             stream,
             service,
             authorized_names: authorized_names.unwrap_or(AuthorizedNames::Any),
@@ -86,16 +90,17 @@
         events.send(opened).await.map_err(|_| Status::unavailable(SHUTDOWN_MESSAGE))?;
         let mut incoming = request.into_inner();
         tokio::spawn(async move {
-            receive(&mut incoming, &messages, &ended, |message| events.send(event(stream, message))).await;
-            // The driver may have ended already.
-            let _ = events.send(Event::Closed(stream)).await;
+            forward_messages(&mut incoming, &messages, &ended, |message| events.send(event(stream, message)))
+                .await;
+            // The driver may have stopped already.
+            let _ = events.send(Event::StreamClosed(stream)).await;
         });
         Ok(ReceiverStream::new(receiver))
     }
 }
 
-/// Carries messages to the driver until the stream ends.
-async fn receive<M, F: Future<Output = Result<(), mpsc::error::SendError<Event>>>>(
+/// Forwards received messages until the stream is closed by either side.
+async fn forward_messages<M, F: Future<Output = Result<(), mpsc::error::SendError<Event>>>>(
     incoming: &mut Streaming<M>, messages: &mpsc::Sender<OutgoingMessage>, ended: &Notify,
     deliver: impl Fn(Box<M>) -> F,
 ) {
@@ -112,7 +117,7 @@
                 }
             }
             Some(Err(status)) => {
-                // The message is too large or cannot be read; the proxy is told if it reads its stream.
+                // The message is too large or cannot be decoded. The status is lost if the queue is full.
                 let _ = messages.try_send(OutgoingMessage::End(status));
                 return;
             }
@@ -121,7 +126,7 @@
     }
 }
 
-/// The messages of a discovery stream.
+/// Encodes the outgoing messages of a discovery stream.
 fn discovery_messages<T: 'static>(
     messages: ReceiverStream<OutgoingMessage>, encode: impl Fn(&Response) -> T + Send + 'static,
 ) -> MessageStream<T> {
--- a/crates/control-plane/src/server/http.rs
+++ b/crates/control-plane/src/server/http.rs
@@ -1,9 +1,9 @@
-//! The HTTP server: the gRPC services, and the metrics at `/-/counters`.
+//! The HTTP server for the gRPC services and for the metrics at `/-/counters`.
 
 use super::connection::{Connection, accept};
 use super::driver::Event;
 use super::grpc::GrpcServices;
-use crate::tls::Tls;
+use crate::tls::ReloadableTlsConfig;
 use axum::response::IntoResponse;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -15,27 +15,28 @@
 use xds_api::pb::envoy::service::discovery::v3::aggregated_discovery_service_server::AggregatedDiscoveryServiceServer;
 use xds_api::pb::envoy::service::load_stats::v3::load_reporting_service_server::LoadReportingServiceServer;
 
-/// The largest message that a proxy may send, in bytes.
+/// Maximum size of a message from a proxy, in bytes.
 const MAX_MESSAGE_SIZE: usize = 4 << 20;
-/// How long a connection may be silent before it is pinged, and how long the answer may take.
+/// Time without received frames after which an HTTP/2 connection is pinged, and the timeout for the answer.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
-/// Accepted connections that may wait for the server.
+/// Maximum number of accepted connections queued for the server.
 const MAX_QUEUED_CONNECTIONS: usize = 64;
-/// How long connections may take to end after a shutdown.
+/// Time limit for connections to close on shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 const METRICS_PATH: &str = "/-/counters";
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// A server that runs on tasks of its own.
+/// A running HTTP server.
 pub(super) struct HttpServer {
     task: JoinHandle<Result<(), tonic::transport::Error>>,
     shutdown: oneshot::Sender<()>,
 }
 
 impl HttpServer {
-    /// Serves the connections of a listener.
+    /// Starts tasks that accept and serve the connections of a listener.
     pub fn start(
-        listener: TcpListener, tls: Option<Tls>, services: GrpcServices, events: mpsc::Sender<Event>,
+        listener: TcpListener, tls: Option<ReloadableTlsConfig>, services: GrpcServices,
+        events: mpsc::Sender<Event>,
     ) -> HttpServer {
         let (connections, incoming) = mpsc::channel::<std::io::Result<Connection>>(MAX_QUEUED_CONNECTIONS);
         tokio::spawn(accept(listener, tls, connections));
@@ -46,15 +47,15 @@
             .http2_keepalive_timeout(Some(KEEP_ALIVE_INTERVAL))
             .add_routes(routes(services, events))
             .serve_with_incoming_shutdown(ReceiverStream::new(incoming), async move {
-                // A dropped sender requests the shutdown as well.
+                // A dropped sender also requests the shutdown.
                 let _ = shutdown_requested.await;
             });
         HttpServer { task: tokio::spawn(server), shutdown }
     }
 
-    /// Ends the server; connections that do not end in time are aborted.
+    /// Shuts the server down. Connections that do not close within `SHUTDOWN_TIMEOUT` are aborted.
     pub async fn shut_down(self) {
-        // The server may have ended already.
+        // The server may have stopped already.
         let _ = self.shutdown.send(());
         let abort = self.task.abort_handle();
         if tokio::time::timeout(SHUTDOWN_TIMEOUT, self.task).await.is_err() {
@@ -74,8 +75,8 @@
 }
 
 async fn metrics(events: mpsc::Sender<Event>) -> impl IntoResponse {
-    let (reply, answer) = oneshot::channel();
-    // Without a driver the answer is empty.
+    let (reply, text) = oneshot::channel();
+    // The response body is empty if the driver has stopped.
     let _ = events.send(Event::MetricsRequested(reply)).await;
-    ([(http::header::CONTENT_TYPE, METRICS_CONTENT_TYPE)], answer.await.unwrap_or_default())
+    ([(http::header::CONTENT_TYPE, METRICS_CONTENT_TYPE)], text.await.unwrap_or_default())
 }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -1,5 +1,5 @@
-//! The server: sockets, the clock, signals and files around the state machine. One task drives the state
-//! machine; a task for each stream carries messages to it and back. The server decides nothing.
+//! The server: connects the state machine to sockets, the clock, signals and files. One task drives the state
+//! machine; each stream has a task that forwards messages to it. All decisions are left to the state machine.
 
 mod clock;
 mod connection;
@@ -14,7 +14,7 @@
 use crate::control_plane::TICK_INTERVAL;
 use crate::discovery_watch::EndpointListUpdate;
 use crate::options::Options;
-use crate::tls::Tls;
+use crate::tls::ReloadableTlsConfig;
 use discovery::watch_discovery;
 use driver::{Driver, Event};
 use grpc::GrpcServices;
@@ -28,14 +28,14 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// Events that may wait for the driver.
+/// Maximum number of events queued for the driver.
 const MAX_QUEUED_EVENTS: usize = 1024;
-/// Endpoint lists that may wait for the driver.
+/// Maximum number of endpoint updates queued for the driver.
 const MAX_QUEUED_LISTS: usize = 16;
-/// Threads of the server.
+/// Maximum number of worker threads.
 const MAX_THREADS: usize = 4;
 
-/// What the main task does next.
+/// The next action of the main task.
 enum Step {
     ShutDown,
     EndpointUpdate(EndpointListUpdate),
@@ -44,7 +44,7 @@
     Event(Event),
 }
 
-/// All that the main task waits for.
+/// The sources of events for the main task.
 struct Inputs {
     stop: oneshot::Receiver<()>,
     terminate: Signal,
@@ -56,8 +56,8 @@
 }
 
 impl Inputs {
-    /// Waits for the next step. Endpoint lists take precedence over all but the end.
-    async fn next(&mut self) -> Step {
+    /// Waits for the next action. Only a shutdown takes precedence over endpoint updates.
+    async fn next_step(&mut self) -> Step {
         tokio::select! {
             biased;
             _ = &mut self.stop => Step::ShutDown,
@@ -71,36 +71,40 @@
     }
 }
 
-/// The configuration in force, and where it is read again on SIGHUP.
+/// The current configuration, and the file from which it is reloaded on SIGHUP.
 struct ReloadableConfig {
     config: Config,
-    /// `None` if there is no file.
+    /// Path of the configuration file; `None` if there is none, which disables reloading.
     path: Option<String>,
+    /// Sends a changed address of discovery to the task that watches it.
     discovery: watch::Sender<SocketAddr>,
 }
 
 impl ReloadableConfig {
-    /// Reads the configuration again. Only the address of discovery takes effect before the next start.
+    /// Reads the configuration again and applies the address of discovery; all other changes need a restart.
     fn reload(&self) {
         let Some(path) = &self.path else { return };
-        let newer = match Config::read(path) {
-            Ok(newer) => newer,
+        let reloaded = match Config::read(path) {
+            Ok(reloaded) => reloaded,
             Err(error) => {
                 tracing::warn!(%error, "configuration not reloaded");
                 return;
             }
         };
-        let settings = self.config.fields_needing_restart(&newer);
+        let settings = self.config.fields_needing_restart(&reloaded);
         if !settings.is_empty() {
-            tracing::warn!(settings = settings.join(", "), "changed settings take effect at the next start");
+            tracing::warn!(
+                settings = settings.join(", "),
+                "configuration reloaded; the changed settings take effect after a restart"
+            );
         }
         self.discovery
-            .send_if_modified(|address| std::mem::replace(address, newer.discovery) != newer.discovery);
+            .send_if_modified(|address| std::mem::replace(address, reloaded.discovery) != reloaded.discovery);
     }
 }
 
-/// Serves until `stop` or a signal requests the end. `ready` gets the address on which the server listens;
-/// `path` is the file of the configuration, which is read again on SIGHUP.
+/// Runs the control plane until `stop`, SIGTERM or SIGINT. The server sends the address that it listens on to
+/// `ready`. `path` is the configuration file, which is read again on SIGHUP; without one, SIGHUP has no effect.
 pub async fn run(
     config: Config, path: Option<String>, options: Options, ready: oneshot::Sender<SocketAddr>,
     stop: oneshot::Receiver<()>,
@@ -109,7 +113,7 @@
     let listener =
         TcpListener::bind(address).await.map_err(|source| ServeError::Listen { address, source })?;
     let address = listener.local_addr().map_err(ServeError::LocalAddress)?;
-    let tls = options.tls.clone().map(Tls::new).transpose()?;
+    let tls = options.tls.clone().map(ReloadableTlsConfig::new).transpose()?;
 
     let (events, event_queue) = mpsc::channel(MAX_QUEUED_EVENTS);
     let services = GrpcServices::new(events.clone(), options.lease, options.report_interval);
@@ -119,7 +123,7 @@
     tokio::spawn(watch_discovery(discovery_address, driver.watch_requested(), lists));
     let server = HttpServer::start(listener, tls, services, events);
     tracing::info!(name = %config.name, %address, "control plane started");
-    // Whoever started the server may not need the address.
+    // The caller may have dropped the receiver.
     let _ = ready.send(address);
 
     let config = ReloadableConfig { config, path, discovery };
@@ -133,7 +137,7 @@
         events: event_queue,
     };
     loop {
-        match inputs.next().await {
+        match inputs.next_step().await {
             Step::ShutDown => break,
             Step::EndpointUpdate(update) => driver.endpoint_update(&update),
             Step::Tick => driver.tick(),
@@ -141,7 +145,7 @@
             Step::Event(event) => driver.handle(event),
         }
     }
-    tracing::info!("control plane shuts down");
+    tracing::info!("control plane shutting down");
     driver.shut_down();
     server.shut_down().await;
     Ok(())
@@ -157,8 +161,8 @@
     signal(kind).map_err(ServeError::Signals)
 }
 
-/// The threads of the server. They encode messages and use sockets, while one task at a time drives the state
-/// machine.
+/// Creates the Tokio runtime of the server. Its threads perform I/O and encode messages; only one task drives
+/// the state machine.
 pub fn runtime() -> Result<Runtime, ServeError> {
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(MAX_THREADS);
     Builder::new_multi_thread()
@@ -169,7 +173,7 @@
         .map_err(ServeError::Runtime)
 }
 
-/// Serves on threads of its own until a signal requests the end.
+/// Creates a runtime and runs the control plane on it until SIGTERM or SIGINT.
 pub fn serve(config: Config, path: String, options: Options) -> Result<(), ServeError> {
     let (ready, _address) = oneshot::channel();
     let (_stop, stop_requested) = oneshot::channel();
--- a/crates/control-plane/src/tls.rs
+++ b/crates/control-plane/src/tls.rs
@@ -1,6 +1,6 @@
-//! Mutual TLS: the certificate of the control plane, the authority of the proxies' certificates, and the
-//! names that a proxy's certificate contains. Files are read again when they change; files that cannot be
-//! used leave the earlier ones in force.
+//! Mutual TLS: loads the certificate of the control plane and the authority that signs the proxies'
+//! certificates, and reads the DNS names in these. Changed files are reloaded; if they cannot be used, the
+//! previous configuration stays in effect.
 
 use crate::options::TlsFiles;
 use rustls_pki_types::pem::{self, PemObject};
@@ -13,70 +13,71 @@
 use x509_parser::extensions::GeneralName;
 use x509_parser::prelude::{FromDer, X509Certificate};
 
-/// The application protocol that connections negotiate.
+/// The ALPN protocol that connections negotiate.
 const HTTP2: &[u8] = b"h2";
 
-/// A file of mutual TLS that cannot be used.
+/// Reason for which the files for mutual TLS cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
     /// The file cannot be read, or is not in PEM format.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The error of the read or of the PEM parser.
         source: pem::Error,
     },
     /// The file contains no certificate.
-    #[error("{path}: no certificate stands there")]
+    #[error("{path}: the file contains no certificate")]
     NoCertificate {
-        /// The file.
+        /// Path of the file.
         path: String,
     },
     /// The certificates in the file cannot be used.
     #[error("{path}: {source}")]
     InvalidCertificate {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The error of rustls.
         source: rustls::Error,
     },
-    /// The authority in the file cannot verify certificates.
+    /// The certificates in the authority file cannot be used to verify proxies.
     #[error("{path}: {source}")]
     InvalidAuthority {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Why not.
+        /// The error of the certificate verifier.
         source: VerifierBuilderError,
     },
-    /// The protocol versions are not supported.
-    #[error("{0}")]
+    /// The cryptography provider does not support the default TLS protocol versions.
+    #[error("TLS protocol versions are not supported: {0}")]
     UnsupportedProtocol(rustls::Error),
 }
 
+/// Modification times of the certificate, key and authority files; `None` if a file is not accessible.
 type ModificationTimes = [Option<SystemTime>; 3];
 
-/// The TLS configuration of new connections.
-pub(crate) struct Tls {
+/// The TLS configuration of new connections, reloaded when the files change.
+pub(crate) struct ReloadableTlsConfig {
     files: TlsFiles,
     modified_at: ModificationTimes,
     config: Arc<ServerConfig>,
 }
 
-impl Tls {
-    /// Reads the files.
-    pub fn new(files: TlsFiles) -> Result<Tls, TlsError> {
+impl ReloadableTlsConfig {
+    /// Loads the files.
+    pub fn new(files: TlsFiles) -> Result<ReloadableTlsConfig, TlsError> {
         let modified_at = modification_times(&files);
-        Ok(Tls { config: load(&files)?, files, modified_at })
+        Ok(ReloadableTlsConfig { config: load(&files)?, files, modified_at })
     }
 
-    /// The configuration of new connections.
+    /// Returns the configuration for new connections.
     pub fn config(&self) -> Arc<ServerConfig> {
         self.config.clone()
     }
 
-    /// Reads the files again if one of them changed.
-    pub fn refresh(&mut self) {
+    /// Reloads the files if the modification time of one of them changed.
+    pub fn reload_if_changed(&mut self) {
         let modified_at = modification_times(&self.files);
         if modified_at == self.modified_at {
             return;
@@ -87,7 +88,7 @@
                 self.config = config;
                 tracing::info!("certificates reloaded");
             }
-            Err(error) => tracing::warn!(%error, "certificates not reloaded"),
+            Err(error) => tracing::warn!(%error, "certificates not reloaded; the previous ones stay in use"),
         }
     }
 }
@@ -136,7 +137,8 @@
     paths.map(|path| std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok())
 }
 
-/// The DNS names in a certificate's subjectAltName (RFC 5280, 4.2.1.6): the proxy ids that its owner may use.
+/// Returns the DNS names in a certificate's subjectAltName (RFC 5280, 4.2.1.6), which are the proxy ids that its
+/// owner may use; none if the certificate cannot be parsed.
 pub(crate) fn dns_names(certificate: &[u8]) -> Vec<String> {
     let Ok((_, certificate)) = X509Certificate::from_der(certificate) else { return Vec::new() };
     let Ok(Some(names)) = certificate.subject_alternative_name() else { return Vec::new() };
