--- a/crates/control-plane/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -1,4 +1,4 @@
-//! Conversion between the protobuf messages of the gRPC services and the plain values of the state machine.
+//! Conversion between the protobuf messages of the gRPC services and the plain types of the state machine.
 
 use crate::control_plane::{LoadReportRequest, ProxyNode};
 use crate::encode::decode_address;
@@ -16,14 +16,14 @@
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const NANOS_PER_MICRO: i64 = 1000;
 
-/// The id and the zone that a message states of its sender.
+/// Returns the id and the zone of the proxy that sent a message; `None` without a `node` field.
 pub(crate) fn proxy_node(node: &Option<Node>) -> Option<ProxyNode<'_>> {
     let node = node.as_ref()?;
     let zone = node.locality.as_ref().map_or("", |locality| &locality.zone);
     Some(ProxyNode { id: &node.id, zone })
 }
 
-/// A state-of-the-world request.
+/// Converts a state-of-the-world request.
 pub(crate) fn state_of_the_world_request(message: ads::DiscoveryRequest) -> StateOfTheWorldRequest {
     StateOfTheWorldRequest {
         type_url: message.type_url,
@@ -34,7 +34,7 @@
     }
 }
 
-/// An incremental request.
+/// Converts an incremental request.
 pub(crate) fn delta_request(message: ads::DeltaDiscoveryRequest) -> DeltaRequest {
     DeltaRequest {
         type_url: message.type_url,
@@ -46,7 +46,8 @@
     }
 }
 
-/// A load report. Entries without a socket address are left out.
+/// Converts a load report. Endpoints without an IP address and port are omitted. The interval is the longest of
+/// those that the clusters report.
 pub(crate) fn load_report(message: &lrs::LoadStatsRequest) -> LoadReportRequest {
     let mut report = LoadReportRequest::default();
     for cluster in &message.cluster_stats {
@@ -68,7 +69,7 @@
     })
 }
 
-/// A request for reports on all clusters, by endpoint.
+/// Creates the message that requests load reports per endpoint on all clusters.
 pub(crate) fn load_report_settings(interval: Micros) -> lrs::LoadStatsResponse {
     lrs::LoadStatsResponse {
         send_all_clusters: true,
@@ -78,12 +79,12 @@
     }
 }
 
-/// A state-of-the-world response. Endpoints get the lease, if it is not 0.
+/// Encodes a state-of-the-world response. `lease` applies to endpoints only; 0 for none.
 pub(crate) fn state_of_the_world_response(response: &Response, lease: Micros) -> ads::DiscoveryResponse {
     let resource_type = response.resource_type;
     let lease = lease_of(resource_type, lease);
     let encode = |resource: &Resource| match lease {
-        0 => any(resource_type, resource),
+        0 => resource_to_any(resource_type, resource),
         _ => {
             let leased = leased_resource(response, resource, lease);
             Any { type_url: ads::Resource::type_url(), value: leased.encode_to_vec() }
@@ -98,7 +99,7 @@
     }
 }
 
-/// An incremental response. Endpoints get the lease, if it is not 0.
+/// Encodes an incremental response. `lease` applies to endpoints only; 0 for none.
 pub(crate) fn delta_response(response: &Response, lease: Micros) -> ads::DeltaDiscoveryResponse {
     let resource_type = response.resource_type;
     let lease = lease_of(resource_type, lease);
@@ -112,15 +113,15 @@
     }
 }
 
-/// The content of a resource.
-pub(crate) fn any(resource_type: ResourceType, resource: &Resource) -> Any {
+/// Wraps the content of a resource with its type URL.
+pub(crate) fn resource_to_any(resource_type: ResourceType, resource: &Resource) -> Any {
     Any { type_url: resource_type.type_url(), value: resource.body.clone() }
 }
 
-/// A resource with its version and lease; in a heartbeat without its content.
+/// Encodes a resource with its version and lease. A heartbeat omits the content.
 fn leased_resource(response: &Response, resource: &Resource, lease: Micros) -> ads::Resource {
     let content = match response.kind {
-        ResponseKind::Update => Some(any(response.resource_type, resource)),
+        ResponseKind::Update => Some(resource_to_any(response.resource_type, resource)),
         ResponseKind::Heartbeat => None,
     };
     ads::Resource {
@@ -132,7 +133,8 @@
     }
 }
 
-/// Only endpoints have a lease, since they show drains and outages.
+/// Returns the lease of a resource type; 0 for none. Only endpoints have one, since they change on
+/// drains and outages.
 fn lease_of(resource_type: ResourceType, lease: Micros) -> Micros {
     if resource_type == ResourceType::Endpoints { lease } else { 0 }
 }
--- a/crates/control-plane/src/dump.rs
+++ b/crates/control-plane/src/dump.rs
@@ -1,6 +1,6 @@
-//! The resources of a proxy as JSON.
+//! Export of the resources of a proxy as JSON.
 
-use crate::codec::any;
+use crate::codec::resource_to_any;
 use crate::control_plane::{ControlPlane, ProxyNode};
 use crate::options::Options;
 use crate::resource::{Resource, ResourceType};
@@ -8,17 +8,18 @@
 use query_router::config::Config;
 use serde_json::{Value as Json, json};
 
-/// A resource that has no JSON form.
+/// Error for a resource that cannot be converted to JSON.
 #[derive(Debug, thiserror::Error)]
-#[error("{source}")]
+#[error("resource '{resource}' cannot be converted to JSON: {source}")]
 pub struct DumpError {
-    /// The resource's name.
+    /// Name of the resource.
     pub resource: String,
-    /// Why it has none.
+    /// The error of the conversion.
     pub source: serde_json::Error,
 }
 
-/// The resources that a proxy with this id and zone would be sent, by the endpoint list in the configuration.
+/// Returns the resources that a proxy with this id and zone would receive if discovery returned the endpoint list
+/// in the configuration.
 pub fn dump(now: Micros, config: &Config, options: Options, id: &str, zone: &str) -> Result<Json, DumpError> {
     let mut control_plane = ControlPlane::new(now, config, options);
     let snapshot = control_plane.snapshot_of(now, ProxyNode { id, zone });
@@ -35,7 +36,7 @@
 
 fn resource_json(resource_type: ResourceType, resource: &Resource) -> Result<Json, DumpError> {
     let Resource { name, version, .. } = resource;
-    let content = serde_json::to_value(any(resource_type, resource))
+    let content = serde_json::to_value(resource_to_any(resource_type, resource))
         .map_err(|source| DumpError { resource: name.clone(), source })?;
     Ok(json!({"name": name, "version": version, "resource": content}))
 }
--- a/crates/control-plane/src/encode/cluster.rs
+++ b/crates/control-plane/src/encode/cluster.rs
@@ -1,4 +1,4 @@
-//! Clusters (CDS): how many requests a proxy may have in flight, and how it retries.
+//! Clusters (CDS): the limit on requests in flight and the retry budget of a proxy.
 
 use super::{aggregated_discovery, duration, uint32};
 use crate::site_settings::SiteSettings;
@@ -7,7 +7,8 @@
 use xds_api::pb::envoy::config::core::v3 as core;
 use xds_api::pb::envoy::r#type::v3::Percent;
 
-/// A cluster to which a proxy may have `max_requests` requests in flight. `proxies` share the free retries.
+/// Encodes a cluster to which a proxy may have `max_requests` requests in flight. The free retries are divided
+/// among `proxies` proxies.
 pub(crate) fn cluster(site: &SiteSettings, name: &str, max_requests: u32, proxies: u32) -> Vec<u8> {
     let circuit_breakers = cds::CircuitBreakers {
         thresholds: vec![thresholds(site, max_requests, proxies)],
@@ -44,7 +45,8 @@
     }
 }
 
-/// Weights localities, and uses no node rather than all of them where none is healthy.
+/// Load balancing by locality weight, with panic mode off: if no node is healthy, requests fail instead of going
+/// to unhealthy nodes.
 fn common_lb_config() -> cds::cluster::CommonLbConfig {
     let locality_weighted =
         cds::cluster::common_lb_config::LocalityConfigSpecifier::LocalityWeightedLbConfig(Default::default());
@@ -55,7 +57,7 @@
     }
 }
 
-/// Load is reported to the control plane itself.
+/// The server that sent the cluster, which is the control plane, as the receiver of load reports.
 fn load_reporting_server() -> core::ConfigSource {
     let own_server = core::config_source::ConfigSourceSpecifier::Self_(Default::default());
     core::ConfigSource {
--- a/crates/control-plane/src/encode/endpoints.rs
+++ b/crates/control-plane/src/encode/endpoints.rs
@@ -1,5 +1,5 @@
-//! Cluster load assignments (EDS): which nodes a proxy of a zone uses, and how much of its work each zone
-//! takes.
+//! Cluster load assignments (EDS): the nodes that a proxy of a zone uses, and the fraction of its requests that
+//! goes to each zone.
 
 use super::{encode_address, uint32};
 use crate::desired_state::{ConstrainedNode, DesiredState, MemberHealth, ReplicaSet};
@@ -10,16 +10,16 @@
 use xds_api::pb::envoy::config::endpoint::v3 as eds;
 use xds_api::pb::envoy::r#type::v3::{FractionalPercent, fractional_percent::DenominatorType};
 
-/// The category under which a proxy counts the requests that it drops.
+/// The drop category under which a proxy counts the requests that it sheds.
 const DROP_CATEGORY: &str = "deferred";
-/// What a zone lacks goes to the next at once, not only beyond a margin.
+/// No overprovisioning: requests spill over to the next priority as soon as a node of a zone is not healthy.
 const OVERPROVISIONING_PERCENT: u32 = 100;
-/// The sum of the locality weights where a zone takes only a part of its own work.
+/// The sum of the locality weights if a zone sends a part of its requests to other zones.
 const WEIGHT_SCALE: u32 = 1000;
-/// The least spare capacity with which a zone counts, as a fraction of the capacity of all zones.
+/// Minimum spare capacity assumed of a zone, as a fraction of the capacity of all zones.
 const MIN_SPARE_CAPACITY: f64 = 0.001;
 
-/// The nodes of one zone, as seen by a proxy.
+/// The nodes of one zone, with their total capacity in requests.
 #[derive(Default)]
 struct ZoneEndpoints {
     capacity: u32,
@@ -32,7 +32,7 @@
     weight: u32,
 }
 
-/// The endpoints of a replica set as a proxy in the zone with index `proxy_zone` should use them.
+/// Encodes the endpoints of a replica set for proxies in the zone with index `proxy_zone`.
 pub(crate) fn replica_set_endpoints(
     state: &DesiredState, name: &str, replica_set: &ReplicaSet, proxy_zone: usize, zone_names: &[String],
 ) -> Vec<u8> {
@@ -48,8 +48,8 @@
     assignment(name, localities.collect(), replica_set.drop_percent)
 }
 
-/// The endpoint of a constrained node; none if it is no longer constrained, for proxies that still use its
-/// cluster.
+/// Encodes the endpoint of a constrained node. `node` is `None` once the node is no longer constrained; proxies
+/// that still use its cluster then get no endpoint.
 pub(crate) fn constrained_node_endpoints(
     name: &str, node: Option<&ConstrainedNode>, zone_names: &[String],
 ) -> Vec<u8> {
@@ -72,8 +72,9 @@
     zones
 }
 
-/// Divides the work of a proxy among zones: its own zone takes what the desired state says, the others the
-/// rest by their spare capacity.
+/// Divides the requests of a proxy among zones: its own zone gets the percentage in the desired state, the others
+/// share the rest in proportion to their spare capacity. Without such a percentage, zones are weighted by
+/// capacity.
 fn rank_localities(
     state: &DesiredState, replica_set: &ReplicaSet, proxy_zone: usize, zones: &BTreeMap<usize, ZoneEndpoints>,
 ) -> Vec<LocalityRank> {
@@ -97,19 +98,20 @@
         LocalityRank { priority, weight }
     };
     let mut ranks: Vec<LocalityRank> = zones.iter().map(rank).collect();
-    // Priorities must begin at 0 and leave no gap.
+    // Priorities must start at 0 without gaps.
     if ranks.iter().all(|rank| rank.priority > 0) {
         ranks.iter_mut().for_each(|rank| rank.priority = 0);
     }
     ranks
 }
 
-/// What a zone can take of the work of others, in thousandths of the capacity of all zones.
+/// Returns the capacity that a zone has left for requests from other zones, in thousandths of the capacity of all
+/// zones.
 fn spare_capacity(state: &DesiredState, zone: usize, capacity: u32, total: u32) -> u32 {
     let zone_proxies = state.proxies.by_zone.get(zone).copied().unwrap_or(0);
-    let work_share = zone_proxies as f64 / state.proxies.total.max(1) as f64;
+    let request_share = zone_proxies as f64 / state.proxies.total.max(1) as f64;
     let capacity_share = capacity as f64 / total.max(1) as f64;
-    ((capacity_share - work_share).max(MIN_SPARE_CAPACITY) * WEIGHT_SCALE as f64) as u32
+    ((capacity_share - request_share).max(MIN_SPARE_CAPACITY) * WEIGHT_SCALE as f64) as u32
 }
 
 fn locality(zone: usize, zone_names: &[String]) -> Option<core::Locality> {
--- a/crates/control-plane/src/encode/mod.rs
+++ b/crates/control-plane/src/encode/mod.rs
@@ -1,5 +1,5 @@
-//! Encoding of the desired state as xDS v3 messages. `docs/control.md` compares the rules of the balancer
-//! with what these messages can express.
+//! Encoding of the desired state as xDS v3 messages. `docs/control.md` lists the rules of the balancer that these
+//! messages can and cannot express.
 
 mod cluster;
 mod endpoints;
@@ -28,11 +28,11 @@
     Some(UInt32Value { value })
 }
 
-fn packed<M: Message + Name>(message: &M) -> Any {
+fn encode_any<M: Message + Name>(message: &M) -> Any {
     Any { type_url: M::type_url(), value: message.encode_to_vec() }
 }
 
-/// The aggregated discovery service as the source of a resource.
+/// The configuration source of resources that are requested from the aggregated discovery service.
 fn aggregated_discovery() -> Option<core::ConfigSource> {
     Some(core::ConfigSource {
         resource_api_version: core::ApiVersion::V3 as i32,
@@ -50,7 +50,7 @@
     Some(core::Address { address: Some(core::address::Address::SocketAddress(socket)) })
 }
 
-/// The socket address in a message, if it is one with an IP address and a port.
+/// Returns the socket address in a message; `None` unless it consists of an IP address and a port number.
 pub(crate) fn decode_address(address: &core::Address) -> Option<SocketAddr> {
     let Some(core::address::Address::SocketAddress(socket)) = &address.address else { return None };
     let Some(core::socket_address::PortSpecifier::PortValue(port)) = socket.port_specifier else {
--- a/crates/control-plane/src/encode/routes.rs
+++ b/crates/control-plane/src/encode/routes.rs
@@ -1,4 +1,4 @@
-//! The route configuration (RDS): which cluster takes the requests of a service class for a shard.
+//! The route configuration (RDS): selects a cluster by the service class and the shard of a request.
 
 use super::{ROUTE_CONFIGURATION, duration, uint32};
 use crate::desired_state::{ConstrainedNode, DesiredState, ReplicaSet, replica_set_cluster_name};
@@ -11,17 +11,17 @@
 use xds_api::pb::envoy::r#type::matcher::v3::RegexMatcher;
 use xds_api::pb::google::protobuf::Any;
 
-/// The header field by which a request names its service class.
+/// The request header that contains the service class.
 const CLASS_HEADER: &str = "x-qos";
-/// The header field by which a request names its shard.
+/// The request header that contains the shard number.
 const SHARD_HEADER: &str = "x-shard";
-/// When any request is retried: if it cannot have been executed, since no connection was established or the
-/// stream was refused (RFC 9113, 8.7).
+/// Retry conditions of all requests: those under which the request cannot have been executed, since no connection
+/// was established or the stream was refused (RFC 9113, 8.7).
 const RETRY_NOT_EXECUTED: &str = "connect-failure,refused-stream";
-/// When an idempotent request is retried: after any failure.
+/// Retry conditions of idempotent requests: any failure.
 const RETRY_IDEMPOTENT: &str = "connect-failure,refused-stream,reset,5xx";
 
-/// The routes of a proxy that has these clusters of constrained nodes.
+/// Encodes the routes of a proxy. `constrained` lists the clusters of constrained nodes that the proxy has.
 pub(crate) fn routes(site: &SiteSettings, state: &DesiredState, constrained: &[String]) -> Resource {
     let mut routes = Vec::new();
     for class in &site.classes {
@@ -58,7 +58,7 @@
     header_matcher(CLASS_HEADER, exact)
 }
 
-/// Matches the shards that the nodes of a replica set hold first.
+/// Matches the shards whose first replica set is `replica_set`.
 fn shard_matcher(site: &SiteSettings, replica_set: usize) -> rds::HeaderMatcher {
     let shards = (replica_set..site.shards).step_by(site.replica_sets);
     let shards: Vec<String> = shards.map(|shard| shard.to_string()).collect();
@@ -84,8 +84,8 @@
     }
 }
 
-/// The cluster of the replica set, or several by weight if the proxy also has clusters of its constrained
-/// nodes.
+/// The cluster of the replica set; if the proxy also has clusters of the set's constrained nodes, all of these by
+/// weight.
 fn cluster_specifier(
     state: &DesiredState, index: usize, replica_set: &ReplicaSet, constrained: &[String],
 ) -> rds::route_action::ClusterSpecifier {
@@ -97,9 +97,9 @@
     if constrained.is_empty() {
         return rds::route_action::ClusterSpecifier::Cluster(replica_set_cluster_name(index));
     }
-    // A replica set without a node in use gets nothing beside its constrained nodes.
-    let healthy: u32 = replica_set.members.iter().map(|member| member.capacity).sum();
-    let mut clusters = vec![cluster_weight(&replica_set_cluster_name(index), healthy)];
+    // The weight is 0 if the replica set has no healthy node; then only its constrained nodes get requests.
+    let healthy_capacity: u32 = replica_set.members.iter().map(|member| member.capacity).sum();
+    let mut clusters = vec![cluster_weight(&replica_set_cluster_name(index), healthy_capacity)];
     for (name, node) in constrained {
         clusters.push(cluster_weight(name, state.route_weight(replica_set, node)));
     }
@@ -139,7 +139,8 @@
     rds::route::Action::DirectResponse(rds::DirectResponseAction { status, body: Some(body) })
 }
 
-/// Retries go to another node. An idempotent request is also retried after half its latency objective.
+/// Retries avoid the nodes of earlier attempts. An idempotent attempt times out after half the latency objective
+/// and is retried.
 fn retry_policy(site: &SiteSettings, class: &ServiceClass) -> rds::RetryPolicy {
     let (retry_on, per_try_timeout) = match class.idempotency {
         Idempotency::Idempotent => (RETRY_IDEMPOTENT, duration(class.latency_objective / 2)),
@@ -155,7 +156,7 @@
     }
 }
 
-/// Rejects the nodes of earlier attempts.
+/// Excludes the nodes of earlier attempts from retries.
 fn previous_hosts_predicate() -> rds::retry_policy::RetryHostPredicate {
     let config = Any {
         type_url: "type.googleapis.com/envoy.extensions.retry.host.previous_hosts.v3.PreviousHostsPredicate"
--- a/crates/control-plane/src/metrics.rs
+++ b/crates/control-plane/src/metrics.rs
@@ -8,17 +8,17 @@
 use prometheus_client::metrics::histogram::Histogram;
 use prometheus_client::registry::{Registry, Unit};
 
-/// The label of metrics by resource type.
+/// The label set of metrics that are counted per resource type.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ResourceTypeLabel {
-    /// The type's name in lower case.
+    /// Name of the resource type in lower case.
     pub kind: String,
 }
 
-/// The buckets of the drain histogram, in seconds.
+/// Upper bounds of the buckets of the drain histogram, in seconds.
 const DRAIN_BUCKETS: [f64; 10] = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 2.0];
 
-/// All metrics. Their names and descriptions stand in `new`.
+/// All metrics of the control plane. The `register_` functions define their exported names and descriptions.
 pub(crate) struct Metrics {
     registry: Registry,
     pub proxies: Gauge,
@@ -42,7 +42,7 @@
 }
 
 impl Metrics {
-    /// Metrics that are all zero.
+    /// Creates and registers all metrics with value 0.
     pub fn new() -> Metrics {
         let mut metrics = Metrics {
             registry: Registry::with_prefix("yewpier_control"),
@@ -122,7 +122,7 @@
         registry.register("invariants_broken", "What must hold and did not", self.invariants_broken.clone());
     }
 
-    /// All metrics in the OpenMetrics text format.
+    /// Returns all metrics in the OpenMetrics text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         match encode(&mut text, &self.registry) {
--- a/crates/control-plane/src/options.rs
+++ b/crates/control-plane/src/options.rs
@@ -1,4 +1,4 @@
-//! The options of the control plane, from section `[control]` of the operator's file.
+//! The options of the control plane, read from section `[control]` of the operator's file.
 
 use balancer::Micros;
 use operator_config::{ConfigError, Section};
@@ -6,64 +6,75 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The shortest lease and answer timeout.
-const MIN_LONG_INTERVAL: Duration = Duration::from_secs(1);
-/// The shortest interval of load reports and probes.
-const MIN_SHORT_INTERVAL: Duration = Duration::from_millis(100);
-/// How values are described that are to be integers.
+/// Minimum of the lease and of the answer timeout.
+const MIN_LEASE_AND_TIMEOUT: Duration = Duration::from_secs(1);
+/// Minimum interval of load reports and probes.
+const MIN_REPORT_AND_PROBE_INTERVAL: Duration = Duration::from_millis(100);
+/// Description of an integer in error messages.
 const INTEGER: &str = "a whole number";
-/// How values are described that are to be socket addresses.
+/// Description of a socket address in error messages.
 const ADDRESS: &str = "an address with a port";
 
-/// The files of mutual TLS, in PEM format.
+/// Paths of the files for mutual TLS, in PEM format.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsFiles {
-    /// The certificate of the control plane.
+    /// The certificate chain of the control plane.
     pub certificate: String,
-    /// Its private key.
+    /// The private key of the control plane.
     pub key: String,
-    /// The certificate of the authority that signs the proxies' certificates.
+    /// The certificates of the authorities that may sign the proxies' certificates.
     pub authority: String,
 }
 
 /// The options of the control plane.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The address to which proxies connect; `None` if the control plane is off.
+    /// The address that the control plane listens on; `None` if it is disabled.
     pub listen: Option<SocketAddr>,
-    /// The files of mutual TLS; `None` for connections without TLS.
+    /// Files for mutual TLS; `None` for connections without TLS.
     pub tls: Option<TlsFiles>,
-    /// The name under which a proxyless client requests its listener.
+    /// Name of the API listener that proxyless clients request.
     pub service: String,
-    /// The address on which a proxy is to listen.
+    /// The address that proxies listen on.
     pub proxy_listen: SocketAddr,
-    /// How long a proxy may act on endpoints that were not renewed; 0 for any time.
+    /// Time for which a proxy may use endpoints without a renewal; 0 for no limit.
     pub lease: Micros,
-    /// How many control planes share the proxies.
+    /// Number of control planes that share the proxies; each grants an equal part of the capacity.
     pub instances: u32,
-    /// How many proxies are expected at a start.
+    /// Number of proxies expected to connect after a start.
     pub expected_proxies: u32,
-    /// How long after a start, or after a proxy has disconnected, its grants from before count.
+    /// Time for which the grants of a disconnected proxy stay reserved; after a start of the control plane, time for
+    /// which proxies that have not reconnected are assumed to have grants from before.
     pub hold: Micros,
-    /// How long a response may be unanswered before its stream is ended.
+    /// Time after which the stream of an unanswered response is closed.
     pub answer_timeout: Micros,
-    /// How many proxies are served.
+    /// Maximum number of proxies.
     pub max_proxies: usize,
-    /// How often proxies report their load; 0 for never.
+    /// Interval at which proxies report their load; 0 to disable load reports.
     pub report_interval: Micros,
-    /// How often data nodes are probed; 0 for never.
+    /// Interval at which data nodes are probed; 0 for no probes.
     pub probe_interval: Micros,
 }
 
 impl Options {
-    /// Reads the options from section `[control]`. What the section does not set gets its default.
+    /// Reads the options from section `[control]`. Keys that are not set have default values.
     pub fn read(section: &mut Section) -> Result<Options, ConfigError> {
         let options = Options {
-            lease: interval(section, "lease", Duration::ZERO, MIN_LONG_INTERVAL)?,
+            lease: interval(section, "lease", Duration::ZERO, MIN_LEASE_AND_TIMEOUT)?,
             hold: interval(section, "hold", Duration::from_secs(15), Duration::ZERO)?,
-            answer_timeout: interval(section, "answer_within", Duration::from_secs(30), MIN_LONG_INTERVAL)?,
-            report_interval: interval(section, "report_every", Duration::from_secs(1), MIN_SHORT_INTERVAL)?,
-            probe_interval: interval(section, "probe_every", Duration::ZERO, MIN_SHORT_INTERVAL)?,
+            answer_timeout: interval(
+                section,
+                "answer_within",
+                Duration::from_secs(30),
+                MIN_LEASE_AND_TIMEOUT,
+            )?,
+            report_interval: interval(
+                section,
+                "report_every",
+                Duration::from_secs(1),
+                MIN_REPORT_AND_PROBE_INTERVAL,
+            )?,
+            probe_interval: interval(section, "probe_every", Duration::ZERO, MIN_REPORT_AND_PROBE_INTERVAL)?,
             tls: tls_files(section)?,
             listen: section.optional("listen", ADDRESS)?,
             service: section.text("service", "yewpier")?,
@@ -76,18 +87,23 @@
         Ok(options)
     }
 
-    /// Checks what depends on more than one option, or on more than a value's form.
+    /// Checks ranges, and options that depend on each other.
     fn check(&self, section: &Section) -> Result<(), ConfigError> {
         let error = |key: &str, reason: &str| Err(section.rejected(key, reason));
         if self.instances == 0 {
-            return error("instances", "under 1");
+            return error("instances", "must be at least 1");
         }
         if self.service.is_empty() || self.service.contains(['/', '?', '#', ' ']) {
-            return error("service", "not a name that stands in a target URI as it is");
+            return error(
+                "service",
+                "must not be empty or contain '/', '?', '#' or a space, as it is part of a target URI",
+            );
         }
         match self.listen {
             Some(address) if self.tls.is_none() && !address.ip().is_loopback() => {
-                let reason = format!("{address} is not a loopback address, and there is no certificate");
+                let reason = format!(
+                    "{address} is not a loopback address, so certificate, key and authority are required"
+                );
                 error("listen", &reason)
             }
             _ => Ok(()),
@@ -95,7 +111,7 @@
     }
 }
 
-/// The files of mutual TLS: all of them or none.
+/// Reads the files for mutual TLS, of which either all or none must be set.
 fn tls_files(section: &mut Section) -> Result<Option<TlsFiles>, ConfigError> {
     let keys = ["certificate", "key", "authority"];
     let files = keys.map(|key| section.take(key));
@@ -105,18 +121,18 @@
     let Some(given) = files.iter().position(Option::is_some) else { return Ok(None) };
     let missing: Vec<&str> =
         keys.iter().zip(&files).filter(|(_, file)| file.is_none()).map(|(key, _)| *key).collect();
-    let reason = format!("it wants {} too", missing.join(" and "));
+    let reason = format!("requires {} to be set too", missing.join(" and "));
     Err(section.rejected(keys[given], reason))
 }
 
-/// An interval of at least `minimum`; also 0, if that is its default.
+/// Reads an interval of at least `minimum`. 0 is also accepted if it is the default.
 fn interval(
     section: &mut Section, key: &str, default: Duration, minimum: Duration,
 ) -> Result<Micros, ConfigError> {
     let value = section.duration(key, default)?;
-    let is_off = value.is_zero() && default.is_zero();
-    if value < minimum && !is_off {
-        return Err(section.rejected(key, format!("under {minimum:?}")));
+    let is_disabled = value.is_zero() && default.is_zero();
+    if value < minimum && !is_disabled {
+        return Err(section.rejected(key, format!("must be at least {minimum:?}")));
     }
     Ok(value.as_micros().min(i64::MAX as u128) as Micros)
 }
--- a/crates/control-plane/src/options/tests.rs
+++ b/crates/control-plane/src/options/tests.rs
@@ -1,5 +1,3 @@
-//! Tests of the options.
-
 use super::*;
 use operator_config::ConfigFile;
 
@@ -8,10 +6,10 @@
     for (text, reason) in [
         ("listen = 192.0.2.1:18000", "f:2: [control] listen: 192.0.2.1:18000 is not a loopback address"),
         ("listen = here", "f:2: [control] listen: 'here' is not an address with a port"),
-        ("lease = 10ms", "f:2: [control] lease: under 1s"),
-        ("certificate = a.pem", "f:2: [control] certificate: it wants key and authority too"),
-        ("instances = 0", "f:2: [control] instances: under 1"),
-        ("service = a/b", "f:2: [control] service: not a name"),
+        ("lease = 10ms", "f:2: [control] lease: must be at least 1s"),
+        ("certificate = a.pem", "f:2: [control] certificate: requires key and authority to be set too"),
+        ("instances = 0", "f:2: [control] instances: must be at least 1"),
+        ("service = a/b", "f:2: [control] service: must not be empty or contain '/'"),
     ] {
         let mut file = ConfigFile::parse("f", &format!("[control]\n{text}\n")).expect("INI");
         let error = Options::read(&mut file.section("control")).expect_err(text).to_string();
@@ -20,7 +18,7 @@
 }
 
 #[test]
-fn everything_is_off_unless_it_is_set() {
+fn unset_options_are_disabled() {
     let mut file = ConfigFile::parse("f", "[control]\nlisten = 127.0.0.1:0\nlease = 2s\n").expect("INI");
     let options = Options::read(&mut file.section("control")).expect("valid options");
     assert_eq!((options.listen.is_some(), options.lease, options.probe_interval), (true, 2_000_000, 0));
--- a/crates/control-plane/src/resource.rs
+++ b/crates/control-plane/src/resource.rs
@@ -6,11 +6,11 @@
 use xds_api::pb::envoy::config::{cluster::v3::Cluster, endpoint::v3::ClusterLoadAssignment};
 use xds_api::pb::envoy::config::{listener::v3::Listener, route::v3::RouteConfiguration};
 
-/// How many hexadecimal digits of a content hash make a version.
+/// Number of hexadecimal digits of the content hash that make up a version.
 const VERSION_LENGTH: usize = 16;
 
-/// The resource types, in the order in which a proxy can apply them without a gap (xDS protocol, "Eventual
-/// consistency considerations").
+/// The resource types, in the order in which a proxy can apply them without dropping requests (xDS protocol,
+/// "Eventual consistency considerations").
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ResourceType {
     /// Clusters (CDS).
@@ -24,11 +24,11 @@
 }
 
 impl ResourceType {
-    /// All types, in the order in which they are pushed.
+    /// All resource types, in the order in which they are pushed.
     pub const ALL: [ResourceType; 4] =
         [ResourceType::Cluster, ResourceType::Endpoints, ResourceType::Listener, ResourceType::Route];
 
-    /// The type URL by which requests and responses name the type.
+    /// Returns the type URL that identifies the type in requests and responses.
     pub fn type_url(self) -> String {
         match self {
             ResourceType::Cluster => Cluster::type_url(),
@@ -38,13 +38,13 @@
         }
     }
 
-    /// The type with this type URL, if it is served.
+    /// Returns the type with this type URL; `None` if the control plane does not serve it.
     pub fn from_type_url(type_url: &str) -> Option<ResourceType> {
         ResourceType::ALL.into_iter().find(|resource_type| resource_type.type_url() == type_url)
     }
 
-    /// Whether a state-of-the-world response lists all resources of the type, so that the proxy removes those
-    /// that it leaves out. Only such types support wildcard subscriptions.
+    /// Whether a state-of-the-world response lists all resources of the type, so that the proxy removes the ones
+    /// that are missing. Only such types support wildcard subscriptions.
     pub fn is_full_state(self) -> bool {
         matches!(self, ResourceType::Cluster | ResourceType::Listener)
     }
@@ -53,22 +53,22 @@
 /// An encoded resource.
 #[derive(Debug, PartialEq)]
 pub struct Resource {
-    /// The resource's name.
+    /// The name by which proxies subscribe to the resource.
     pub name: String,
-    /// The hash of the content.
+    /// Hash of the content, in hexadecimal.
     pub version: String,
-    /// The encoded message.
+    /// The content as an encoded protobuf message.
     pub body: Vec<u8>,
-    /// The generation of the desired state that introduced this content.
+    /// Generation of the desired state from which the resource was encoded.
     pub generation: u64,
-    /// Of a cluster, how many requests this version allows a proxy to have in flight.
+    /// For clusters: maximum number of requests that a proxy may have in flight; 0 for other types.
     pub max_requests: u32,
-    /// Of a route configuration, the clusters to which it routes.
+    /// For route configurations: names of the clusters that the routes refer to; empty for other types.
     pub routed_clusters: Vec<String>,
 }
 
 impl Resource {
-    /// A resource with this content.
+    /// Creates a resource. `max_requests` and `routed_clusters` stay unset.
     pub fn new(name: &str, body: Vec<u8>, generation: u64) -> Resource {
         let version = content_version(&body);
         let name = name.to_string();
@@ -76,8 +76,8 @@
     }
 }
 
-/// The version of some content. Versions are hashes, so that two control planes with the same data hand out
-/// the same versions.
+/// Returns the version of a resource's content. Versions are hashes, so that control planes with the same data
+/// send the same versions.
 pub(crate) fn content_version(content: &[u8]) -> String {
     blake3::hash(content).to_hex()[..VERSION_LENGTH].to_string()
 }
@@ -85,17 +85,17 @@
 /// Resources of one type by name.
 pub(crate) type ResourcesByName = BTreeMap<String, Arc<Resource>>;
 
-/// All resources that one proxy should have.
+/// All resources that a proxy should have.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ResourceSnapshot([ResourcesByName; 4]);
 
 impl ResourceSnapshot {
-    /// The resources of one type.
+    /// Returns the resources of one type.
     pub fn of_type(&self, resource_type: ResourceType) -> &ResourcesByName {
         &self.0[resource_type as usize]
     }
 
-    /// Adds a resource, in place of one with the same name.
+    /// Adds a resource. It replaces a resource of the same type and name.
     pub fn insert(&mut self, resource_type: ResourceType, resource: Arc<Resource>) {
         self.0[resource_type as usize].insert(resource.name.clone(), resource);
     }
--- a/crates/control-plane/src/resource_cache.rs
+++ b/crates/control-plane/src/resource_cache.rs
@@ -1,4 +1,4 @@
-//! The resources of the current desired state, each encoded once for all proxies that get the same.
+//! Cache of the encoded resources of the current desired state, shared by all proxies that need the same ones.
 
 use crate::desired_state::{DesiredState, is_node_cluster};
 use crate::encode;
@@ -15,15 +15,17 @@
     pub max_requests: u32,
 }
 
-/// All on which the resources of a proxy depend. Most proxies of a zone have the same.
+/// All inputs other than the desired state that determine the resources of a proxy. They are equal for most
+/// proxies of a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ProxyGrants {
-    /// The index of the proxy's zone.
+    /// Index of the proxy's zone.
     pub zone: usize,
-    /// By replica set, how many requests the proxy may have in flight.
+    /// Maximum number of requests that the proxy may have in flight, by replica set.
     pub replica_sets: Vec<u32>,
+    /// Grants of constrained nodes; none for nodes of which the proxy has no share.
     pub constrained: Vec<ConstrainedGrant>,
-    /// Clusters of constrained nodes that the proxy has and should leave.
+    /// Clusters of constrained nodes that the proxy has and should stop using.
     pub leaving: Vec<String>,
 }
 
@@ -34,21 +36,22 @@
     proxies: u32,
 }
 
-/// Encoded resources, by what they depend on.
+/// Encoded resources, keyed by the inputs that they depend on.
 pub(crate) struct ResourceCache {
     zone_names: Vec<String>,
     generation: u64,
-    /// By replica set and zone of the proxy.
+    /// Keyed by replica set and zone of the proxy.
     replica_set_endpoints: HashMap<(usize, usize), Arc<Resource>>,
+    /// Keyed by cluster name.
     constrained_endpoints: HashMap<String, Arc<Resource>>,
     clusters: HashMap<ClusterKey, Arc<Resource>>,
-    /// By the constrained nodes' clusters that a proxy has.
+    /// Keyed by the names of the constrained nodes' clusters that the proxy has.
     routes: HashMap<Vec<String>, Arc<Resource>>,
     listeners: [Arc<Resource>; 2],
 }
 
 impl ResourceCache {
-    /// A cache without resources but the listeners.
+    /// Creates a cache that contains only the listeners, which do not depend on the desired state.
     pub fn new(options: &Options, zone_names: &[String]) -> ResourceCache {
         ResourceCache {
             zone_names: zone_names.to_vec(),
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Takes a new desired state into force in place of `previous`. Resources on which both agree are kept.
+    /// Switches from the desired state `previous` to `state`. Keeps the resources whose inputs are equal in both.
     pub fn retain(&mut self, previous: &DesiredState, state: &DesiredState) {
         self.generation = state.generation;
         self.replica_set_endpoints
@@ -69,12 +72,12 @@
         let (old, new) = (&previous.constrained_nodes, &state.constrained_nodes);
         self.constrained_endpoints.retain(|name, _| new.contains_key(name) && old.get(name) == new.get(name));
         self.routes.clear();
-        // Clusters depend on nothing but their key; those of nodes that are no longer constrained are
+        // A cluster depends only on its key, so only those of nodes that are no longer constrained are
         // dropped.
         self.clusters.retain(|key, _| !is_node_cluster(&key.name) || new.contains_key(&key.name));
     }
 
-    /// All resources of a proxy with these grants.
+    /// Returns all resources of a proxy with these grants, encoding those that are not cached.
     pub fn snapshot(
         &mut self, site: &SiteSettings, state: &DesiredState, grants: &ProxyGrants,
     ) -> ResourceSnapshot {
--- a/crates/control-plane/src/site_settings.rs
+++ b/crates/control-plane/src/site_settings.rs
@@ -1,49 +1,49 @@
-//! The platform's settings that the control plane uses, as typed values.
+//! The subset of the router's configuration that the control plane uses, with defaults applied.
 
 use balancer::{ClassSettings, DiscoveryMode, Idempotency, Micros, Settings};
 use query_router::config::Config;
 use std::time::Duration;
 
-/// The connect timeout where the settings name none.
+/// Connect timeout if the settings contain none.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// The shortest time in which a probe of a data node may connect.
+/// Minimum connect timeout of a probe of a data node.
 const MIN_PROBE_TIMEOUT: Micros = 1000;
 
-/// The values of a service class that resources carry.
+/// The settings of a service class that are encoded in resources.
 #[derive(Clone, Debug)]
 pub(crate) struct ServiceClass {
     pub name: String,
     pub idempotency: Idempotency,
     pub latency_objective: Micros,
-    /// When a request times out: at the deadline if a late answer has a value, else at the latency objective,
-    /// as in a router.
+    /// Time after which a request times out, as in a router: the deadline if a late response still has a value,
+    /// otherwise the latency objective.
     pub request_timeout: Micros,
 }
 
-/// The settings of the site.
+/// The settings that the control plane uses. They do not change before a restart.
 #[derive(Clone, Debug)]
 pub(crate) struct SiteSettings {
     pub zones: Vec<String>,
     pub classes: Vec<ServiceClass>,
-    /// The number of replica sets into which nodes are divided.
+    /// Number of replica sets into which the data nodes are divided.
     pub replica_sets: usize,
     pub shards: usize,
     pub replica_sets_per_shard: usize,
     pub max_attempts: u32,
     pub connect_timeout: Micros,
-    /// How long a probe of a data node may take to connect.
+    /// Connect timeout of a probe of a data node.
     pub probe_timeout: Duration,
-    /// Retries in relation to requests; `None` if they are not limited.
+    /// Maximum ratio of retries to requests; `None` for no limit.
     pub retry_share: Option<f64>,
-    /// Retries that are allowed in any case.
+    /// Number of concurrent retries allowed regardless of `retry_share`, for all proxies together.
     pub free_retries: f64,
-    /// How long after the notice of a drain proxies may still use the node.
+    /// Time after the start of a drain for which proxies may still use the node.
     pub drain_grace: Micros,
     pub discovery_mode: DiscoveryMode,
 }
 
 impl SiteSettings {
-    /// Reads the settings of a configuration.
+    /// Extracts the settings from a configuration.
     pub fn new(config: &Config) -> SiteSettings {
         let Settings { shards, limits, rules, .. } = &config.settings;
         let probe_timeout = limits.connect_timeout.unwrap_or(0).max(MIN_PROBE_TIMEOUT);
@@ -63,19 +63,19 @@
         }
     }
 
-    /// The index of a zone. A zone that the settings do not name gets the index after the last.
+    /// Returns the index of a zone. All zones that the settings do not list share the index after the last one.
     pub fn zone_index(&self, zone: &str) -> usize {
         self.zones.iter().position(|known| known == zone).unwrap_or(self.zones.len())
     }
 
-    /// Whether the nodes of replica set `node_set` hold the shards that start with `shard_set`: shards are
-    /// assigned to replica sets in turn, and each shard to as many consecutive sets as the settings say.
+    /// Whether the nodes of replica set `node_set` hold the shards whose first replica set is `shard_set`. Shards are
+    /// assigned to first replica sets round-robin, and `replica_sets_per_shard` consecutive sets hold each.
     pub fn holds_shards(&self, node_set: usize, shard_set: usize) -> bool {
         let distance = (node_set % self.replica_sets + self.replica_sets - shard_set) % self.replica_sets;
         distance < self.replica_sets_per_shard
     }
 
-    /// The number of groups of shards that are held by the same nodes.
+    /// Returns the number of shard groups. The shards of a group have the same first replica set.
     pub fn shard_groups(&self) -> usize {
         self.replica_sets.min(self.shards)
     }
