--- a/crates/control-plane/src/server/driver.rs
+++ b/crates/control-plane/src/server/driver.rs
@@ -160,7 +160,7 @@
                 Ok(Ok(_)) => ProbeResult::Reachable,
                 Ok(Err(_)) | Err(_) => ProbeResult::Unreachable,
             };
-            // The driver may have ended already.
+            // The driver may have stopped already.
             let _ = events.send(Event::ProbeFinished(address, result)).await;
         });
     }
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -31,7 +31,7 @@
 /// Maximum number of events queued for the driver.
 const MAX_QUEUED_EVENTS: usize = 1024;
 /// Maximum number of endpoint updates queued for the driver.
-const MAX_QUEUED_LISTS: usize = 16;
+const MAX_QUEUED_ENDPOINT_UPDATES: usize = 16;
 /// Maximum number of worker threads.
 const MAX_THREADS: usize = 4;
 
@@ -51,7 +51,7 @@
     interrupt: Signal,
     hangup: Signal,
     ticks: Interval,
-    endpoint_lists: mpsc::Receiver<EndpointListUpdate>,
+    endpoint_updates: mpsc::Receiver<EndpointListUpdate>,
     events: mpsc::Receiver<Event>,
 }
 
@@ -63,7 +63,7 @@
             _ = &mut self.stop => Step::ShutDown,
             _ = self.terminate.recv() => Step::ShutDown,
             _ = self.interrupt.recv() => Step::ShutDown,
-            Some(update) = self.endpoint_lists.recv() => Step::EndpointUpdate(update),
+            Some(update) = self.endpoint_updates.recv() => Step::EndpointUpdate(update),
             _ = self.ticks.tick() => Step::Tick,
             _ = self.hangup.recv() => Step::Reload,
             Some(event) = self.events.recv() => Step::Event(event),
@@ -119,8 +119,8 @@
     let services = GrpcServices::new(events.clone(), options.lease, options.report_interval);
     let mut driver = Driver::new(&config, options, events.clone());
     let (discovery, discovery_address) = watch::channel(config.discovery);
-    let (lists, endpoint_lists) = mpsc::channel(MAX_QUEUED_LISTS);
-    tokio::spawn(watch_discovery(discovery_address, driver.watch_requested(), lists));
+    let (updates, endpoint_updates) = mpsc::channel(MAX_QUEUED_ENDPOINT_UPDATES);
+    tokio::spawn(watch_discovery(discovery_address, driver.watch_requested(), updates));
     let server = HttpServer::start(listener, tls, services, events);
     tracing::info!(name = %config.name, %address, "control plane started");
     // The caller may have dropped the receiver.
@@ -133,7 +133,7 @@
         hangup: receive_signal(SignalKind::hangup())?,
         terminate: receive_signal(SignalKind::terminate())?,
         interrupt: receive_signal(SignalKind::interrupt())?,
-        endpoint_lists,
+        endpoint_updates,
         events: event_queue,
     };
     loop {
--- a/crates/control-plane/src/session/push.rs
+++ b/crates/control-plane/src/session/push.rs
@@ -35,7 +35,7 @@
 struct ResponseContent {
     resources: Vec<Arc<Resource>>,
     removed: Vec<String>,
-    /// The version of all resources of the type together.
+    /// The combined version of all resources of the type; empty in the incremental variant.
     type_version: String,
 }
 
--- a/crates/control-plane/src/session/request.rs
+++ b/crates/control-plane/src/session/request.rs
@@ -179,7 +179,7 @@
         self.acknowledged = self.sent.clone();
     }
 
-    /// Subscribes to one more name.
+    /// Adds a name, or the wildcard, to the subscription.
     fn subscribe(&mut self, resource_type: ResourceType, name: String) {
         if name == WILDCARD {
             self.wildcard = resource_type.is_full_state();
--- a/crates/control-plane/src/session/response.rs
+++ b/crates/control-plane/src/session/response.rs
@@ -21,7 +21,7 @@
     pub kind: ResponseKind,
     /// The nonce that the proxy repeats in its ACK or NACK.
     pub nonce: String,
-    /// The version of all resources of the type together; empty in the incremental variant.
+    /// The combined version of all resources of the type; empty in the incremental variant.
     pub version: String,
     /// New and changed resources; in a heartbeat, those whose lease is renewed.
     pub resources: Vec<Arc<Resource>>,
--- a/crates/control-plane/src/session/subscription.rs
+++ b/crates/control-plane/src/session/subscription.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-/// A version that the proxy has or was sent.
+/// A version of a resource that the proxy has, or that was sent to it.
 #[derive(Clone, Debug)]
 pub(super) struct KnownVersion {
     pub version: String,
@@ -83,7 +83,7 @@
     pub claimed_version: Option<String>,
 }
 
-/// Returns the combined version of a set of known versions.
+/// Returns the combined version of the resources with these versions.
 pub(super) fn type_version(versions: &BTreeMap<String, KnownVersion>) -> String {
     combined_version(versions.iter().map(|(name, known)| (name, known.version.as_str())))
 }
