--- a/crates/balancer/src/policy/discovery.rs
+++ b/crates/balancer/src/policy/discovery.rs
@@ -1,17 +1,17 @@
-//! When to request the endpoint list, and the timer.
+//! Requests for the endpoint list, and the timer.
 
 use super::*;
 
 impl Balancer {
-    /// A node that has just restarted counts as one that crashed.
+    /// Counts the restart of a node as a crash if its process started within half of `CRASH_WINDOW`.
     pub(crate) fn observe_restart(&mut self, now: Micros, started_at: Micros) {
-        if started_at > now - CRASH_MEMORY / 2 {
+        if started_at > now - CRASH_WINDOW / 2 {
             self.admission.crashes.push(now, 1.0);
         }
     }
 
-    /// Requests the endpoint list again later, after each failure for longer, with jitter. A change counts as known 6 s
-    /// after discovery has recovered, so no delay takes much more than two thirds of that.
+    /// Delays the next request for the endpoint list after a failure, with exponential backoff and jitter. Endpoint
+    /// changes must be known 6 s after discovery has recovered, so no delay is much longer than two thirds of that.
     pub(crate) fn delay_next_request(&mut self, now: Micros, actions: &mut dyn Actions) {
         let discovery = &mut self.discovery;
         discovery.watching = false;
@@ -22,7 +22,8 @@
         actions.log(&format!("discovery unreachable, next request in {milliseconds} ms"));
     }
 
-    /// Requests the endpoint list where it must be polled, and keeps a timer while a query is open.
+    /// Requests the endpoint list where it must be polled, and keeps a timer set while a query is open or the list is
+    /// polled.
     pub(super) fn schedule(&mut self, now: Micros, actions: &mut dyn Actions) {
         let has_open_queries = !self.queries.open().is_empty();
         let discovery = &mut self.discovery;
@@ -34,7 +35,7 @@
         let next = now + self.deployment.decision_interval.max(1_000);
         let at = if has_open_queries { next } else { discovery.next_request_at.max(next) };
         let is_needed = poll_interval.is_some() || has_open_queries;
-        if is_needed && discovery.timer_at.is_none_or(|set| set > at || set <= now) {
+        if is_needed && discovery.timer_at.is_none_or(|expiry| expiry > at || expiry <= now) {
             actions.set_timer(at - now, 0);
             discovery.timer_at = Some(at);
         }
--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -1,7 +1,7 @@
-//! The decisions of the query router; all of them are here, as are all tuned values.
+//! The decisions of the query router. This module contains all of them, and all tuned values.
 //!
-//! In a decision every open query runs through `STAGES`, each of which passes it on, keeps it for the next
-//! decision or ends it. "Deviation" marks what differs from the original design (`docs/design.md`).
+//! In each decision every open query runs through `STAGES`. A stage passes the query on, keeps it for the next
+//! decision or ends it. "Deviation" marks code that differs from the original design (`docs/design.md`).
 
 mod admission;
 mod completion;
@@ -23,18 +23,20 @@
 };
 use std::cmp::Reverse;
 
-/// How long a sample counts as recent.
-const RECENT: Micros = 10_000_000;
-/// The concurrency limit of a node at first, and its maximum.
+/// The age up to which a sample counts as recent.
+const RECENT_WINDOW: Micros = 10_000_000;
+/// The initial and the largest concurrency limit of a node, in shard requests of this router.
 pub(crate) const MAX_CONCURRENCY_LIMIT: f64 = 8.0;
-/// The share of attempts rejected up to which queries are admitted without pacing, and the strongest pacing.
-const MAX_REJECTION_SHARE: f64 = 0.02;
+/// The share of rejected attempts up to which queries are admitted without pacing.
+const MAX_UNPACED_REJECTION_SHARE: f64 = 0.02;
+/// The largest factor by which pacing extends the interval between queries; see `pacing_delay`.
 const MAX_PACING_FACTOR: f64 = 10.0;
-/// How long a crash is remembered, and how many crashes in that time make canary attempts necessary.
-const CRASH_MEMORY: Micros = 30_000_000;
-const CANARY_CRASHES: usize = 3;
-/// The error that rounding may leave in a sum of weights.
-const WEIGHT_ROUNDING: f64 = 1e-5;
+/// The age up to which node crashes, poison queries and samples of idle times count.
+const CRASH_WINDOW: Micros = 30_000_000;
+/// The number of node crashes within `CRASH_WINDOW` from which queries start with a canary attempt.
+const CANARY_CRASH_THRESHOLD: usize = 3;
+/// The rounding error that is tolerated in a sum of weights.
+const WEIGHT_TOLERANCE: f64 = 1e-5;
 /// How many samples of each measurement are kept.
 pub(crate) const RETAINED: SamplesRetained = SamplesRetained {
     latencies: 128,
@@ -47,26 +49,29 @@
     arrivals: 1 << 16,
     tenant_arrivals: 64,
     rejections: 128,
-    crashes: CANARY_CRASHES,
+    crashes: CANARY_CRASH_THRESHOLD,
     class_durations: 32,
     class_query_timeouts: 64,
 };
 
-/// What a stage does with a query.
-enum Step {
+/// The result of a stage for a query.
+enum StageResult {
+    /// The next stage follows.
     Continue,
+    /// The query stays open until the next decision.
     Wait,
+    /// The query ends with this completion.
     Finish(Completion),
 }
 
-type Stage = fn(&mut Balancer, Micros, QueryId, &mut dyn Actions) -> Step;
+type Stage = fn(&mut Balancer, Micros, QueryId, &mut dyn Actions) -> StageResult;
 
 impl Balancer {
-    /// The stages in their order.
+    /// The stages in the order in which they run.
     const STAGES: [Stage; 5] =
         [Self::complete, Self::expire, Self::wait_for_canary, Self::admit, Self::retry_and_hedge];
 
-    /// Takes all decisions of this instant.
+    /// Runs each open query through the stages, then releases unused ids and schedules the next decision.
     pub(crate) fn decide_all(&mut self, now: Micros, actions: &mut dyn Actions) {
         self.update_canary_mode(now, actions);
         self.now = now;
@@ -82,9 +87,9 @@
     fn run_stages(&mut self, now: Micros, id: QueryId, actions: &mut dyn Actions) {
         for stage in Self::STAGES {
             match stage(self, now, id, actions) {
-                Step::Continue => {}
-                Step::Wait => return,
-                Step::Finish(completion) => return self.finish(now, id, completion, actions),
+                StageResult::Continue => {}
+                StageResult::Wait => return,
+                StageResult::Finish(completion) => return self.finish(now, id, completion, actions),
             }
         }
     }
--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -113,7 +113,7 @@
 #[test]
 fn while_nodes_keep_crashing_a_canary_batch_goes_ahead() {
     let mut balancer = balancer(Idempotency::Idempotent);
-    balancer.admission.crashes.push_times(NOW, 1.0, CANARY_CRASHES);
+    balancer.admission.crashes.push_times(NOW, 1.0, CANARY_CRASH_THRESHOLD);
     arrive(&mut balancer, 0, 2);
     assert_eq!(decide(&mut balancer, NOW), ["send 1 0"]);
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Succeeded, 9);
@@ -131,7 +131,7 @@
     assert_eq!((abandoned_of(0.5, &[0, 1]), abandoned_of(0.5, &[0]), abandoned_of(1.0, &[0, 1])), (1, 0, 0));
     // An old rejection does not count, nor does one that was followed by an answer.
     let mut balancer = partial_query(0.5, &[0, 1]);
-    balancer.nodes[NodeId(0)].rejection_backoff_until = NOW - RECENT - 1;
+    balancer.nodes[NodeId(0)].rejection_backoff_until = NOW - RECENT_WINDOW - 1;
     balancer.abandon_surplus(NOW, QueryId(0));
     assert_eq!(abandoned(&balancer), 0);
 }
--- a/crates/balancer/src/policy/tests/endpoint_health.rs
+++ b/crates/balancer/src/policy/tests/endpoint_health.rs
@@ -63,7 +63,7 @@
     balancer.load_reported(NOW, NodeId(1), &report(24.0));
     assert!((balancer.shed_fraction(NOW, &[NodeId(0), NodeId(1)]) - 0.5).abs() < 0.05);
     assert_eq!(
-        balancer.shed_fraction(NOW + 2 * RECENT, &[NodeId(0), NodeId(1)]),
+        balancer.shed_fraction(NOW + 2 * RECENT_WINDOW, &[NodeId(0), NodeId(1)]),
         0.0,
         "an old report does not count"
     );
--- a/crates/balancer/src/policy/tests/health.rs
+++ b/crates/balancer/src/policy/tests/health.rs
@@ -7,8 +7,8 @@
 fn a_failed_connection_is_not_held_against_a_node_that_answered_meanwhile() {
     for (answered, ejected) in [(NOW + 100_000, false), (NOW - 100_000, true)] {
         let mut balancer = balancer(Idempotency::Idempotent);
-        balancer.learn(answered, observation(0, 0, AttemptOutcome::Succeeded, 5));
-        balancer.learn(NOW + 250_000, observation(0, 0, AttemptOutcome::ConnectFailed, 250_000));
+        balancer.record_observation(answered, observation(0, 0, AttemptOutcome::Succeeded, 5));
+        balancer.record_observation(NOW + 250_000, observation(0, 0, AttemptOutcome::ConnectFailed, 250_000));
         let node = &balancer.nodes[NodeId(0)];
         assert_eq!(
             (node.class_health(0).ejected_until > NOW + 250_000, node.last_connect_failure_at > 0),
@@ -20,8 +20,8 @@
 #[test]
 fn a_failing_node_is_ejected_for_longer_each_time_until_it_restarts() {
     let mut balancer = balancer(Idempotency::Idempotent);
-    balancer.learn(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
-    balancer.learn(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
+    balancer.record_observation(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
+    balancer.record_observation(NOW, observation(0, 0, AttemptOutcome::ServerError, 5));
     assert_eq!(
         (
             balancer.nodes[NodeId(0)].class_health(0).failure_score,
@@ -29,7 +29,7 @@
         ),
         (1, NOW + 500_000)
     );
-    balancer.learn(NOW + 500_000, observation(0, 0, AttemptOutcome::ServerError, 5));
+    balancer.record_observation(NOW + 500_000, observation(0, 0, AttemptOutcome::ServerError, 5));
     assert_eq!(balancer.nodes[NodeId(0)].class_health(0).ejected_until, NOW + 1_500_000);
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW + 600_000)]);
     assert_eq!(balancer.nodes[NodeId(0)].class_health(0).ejected_until, 0);
@@ -38,9 +38,9 @@
 #[test]
 fn a_rejecting_node_is_not_used_until_it_answers() {
     let mut balancer = balancer(Idempotency::Idempotent);
-    balancer.learn(NOW, observation(0, 0, AttemptOutcome::Rejected, 5));
+    balancer.record_observation(NOW, observation(0, 0, AttemptOutcome::Rejected, 5));
     assert_eq!(balancer.preference(NOW + 50_000, NodeId(0), 0), Preference::Unavailable);
-    balancer.learn(NOW + 60_000, observation(0, 0, AttemptOutcome::Succeeded, 5));
+    balancer.record_observation(NOW + 60_000, observation(0, 0, AttemptOutcome::Succeeded, 5));
     assert_eq!(balancer.preference(NOW + 60_000, NodeId(0), 0), Preference::Healthy);
 }
 
@@ -60,21 +60,21 @@
     (rule.window, rule.multiple) = (3_000_000, 1.0);
     (rule.initial_capacity_share, rule.warm_up) = (0.1, 10_000_000);
     balancer.nodes[NodeId(0)].work_sent.push(NOW, 1e6);
-    assert!(balancer.has_cold_capacity(NOW, NodeId(0), 1, 0));
-    balancer.learn(NOW, observation(0, 0, AttemptOutcome::ConnectFailed, 5));
-    assert!(!balancer.has_cold_capacity(NOW, NodeId(0), 1, 0));
+    assert!(balancer.slow_start_allows(NOW, NodeId(0), 1, 0));
+    balancer.record_observation(NOW, observation(0, 0, AttemptOutcome::ConnectFailed, 5));
+    assert!(!balancer.slow_start_allows(NOW, NodeId(0), 1, 0));
     // Unreachable after a lost connection counts as a crash; an answer in time shows that the node is warm.
     assert!(
         balancer.nodes[NodeId(0)].class_health(0).ejected_until > NOW
             && balancer.admission.crashes.count(0) == 0
     );
-    balancer.learn(NOW + 1, observation(1, 0, AttemptOutcome::ConnectionLost, 5));
-    balancer.learn(NOW + 2, observation(1, 0, AttemptOutcome::ConnectFailed, 5));
+    balancer.record_observation(NOW + 1, observation(1, 0, AttemptOutcome::ConnectionLost, 5));
+    balancer.record_observation(NOW + 2, observation(1, 0, AttemptOutcome::ConnectFailed, 5));
     assert_eq!(balancer.admission.crashes.count(0), 1);
-    balancer.learn(NOW + 2, observation(0, 0, AttemptOutcome::Succeeded, 500_000));
-    assert!(!balancer.has_cold_capacity(NOW + 2, NodeId(0), 1, 0));
-    balancer.learn(NOW + 3, observation(0, 0, AttemptOutcome::Succeeded, 50_000));
-    assert!(balancer.has_cold_capacity(NOW + 3, NodeId(0), 1, 0));
+    balancer.record_observation(NOW + 2, observation(0, 0, AttemptOutcome::Succeeded, 500_000));
+    assert!(!balancer.slow_start_allows(NOW + 2, NodeId(0), 1, 0));
+    balancer.record_observation(NOW + 3, observation(0, 0, AttemptOutcome::Succeeded, 50_000));
+    assert!(balancer.slow_start_allows(NOW + 3, NodeId(0), 1, 0));
 }
 
 #[test]
@@ -90,14 +90,14 @@
 fn idle_connections_are_distrusted_when_only_long_idle_times_end_in_losses() {
     let mut balancer = balancer(Idempotency::Idempotent);
     for _ in 0..8 {
-        balancer.observe_idle(NOW, false, 500_000);
+        balancer.record_idle_time(NOW, false, 500_000);
     }
     for _ in 0..2 {
-        balancer.observe_idle(NOW, true, 3_000_000);
+        balancer.record_idle_time(NOW, true, 3_000_000);
     }
     assert_eq!(balancer.statistics.max_idle_time, 3_000_000);
     for _ in 0..20 {
-        balancer.observe_idle(NOW, true, 200_000);
+        balancer.record_idle_time(NOW, true, 200_000);
     }
     assert_eq!(
         balancer.statistics.max_idle_time, 200_000,
@@ -110,7 +110,7 @@
     let mut balancer = balancer(Idempotency::Idempotent);
     balancer.classes.push(balancer.classes[0].clone());
     balancer.nodes[NodeId(0)].class_health_mut(1).last_success_at = NOW;
-    balancer.learn(NOW + 5, observation(0, 0, AttemptOutcome::TimedOut, 2_000_000));
+    balancer.record_observation(NOW + 5, observation(0, 0, AttemptOutcome::TimedOut, 2_000_000));
     assert_eq!(
         (
             balancer.nodes[NodeId(0)].class_health(0).failure_score,
@@ -126,7 +126,7 @@
         let mut balancer =
             balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(4));
         assert_eq!(after_first_attempt(&mut balancer, outcome, NOW + 9), ["send 11 1"]);
-        balancer.learn(NOW + 10, observation(0, 0, outcome, 9));
+        balancer.record_observation(NOW + 10, observation(0, 0, outcome, 9));
         let node = &balancer.nodes[NodeId(0)];
         assert_eq!(
             (
@@ -150,7 +150,7 @@
             (balancer.preference(NOW + 11, NodeId(0), 0), balancer.capacity(NodeId(0), 0, 0)),
             (Preference::Degraded, 0)
         );
-        balancer.learn(NOW + 12, observation(0, 0, AttemptOutcome::Succeeded, 9));
+        balancer.record_observation(NOW + 12, observation(0, 0, AttemptOutcome::Succeeded, 9));
         assert_eq!(
             (balancer.preference(NOW + 12, NodeId(0), 0), balancer.capacity(NodeId(0), 0, 0)),
             (Preference::Healthy, 7)
--- a/crates/balancer/src/policy/tests/selection.rs
+++ b/crates/balancer/src/policy/tests/selection.rs
@@ -82,12 +82,12 @@
     let mut balancer = one_of_three_routers_with_a_warming_node();
     // 2 x 0.2 x 3 s / 3 is 400 ms of work; a shard request counts as 100 ms until latencies are known.
     assert!(
-        balancer.has_cold_capacity(NOW, NodeId(0), 4, 0) && !balancer.has_cold_capacity(NOW, NodeId(0), 5, 0)
+        balancer.slow_start_allows(NOW, NodeId(0), 4, 0) && !balancer.slow_start_allows(NOW, NodeId(0), 5, 0)
     );
     balancer.nodes[NodeId(0)].work_sent.push(NOW, 100_001.0);
     assert!(
-        !balancer.has_cold_capacity(NOW, NodeId(0), 3, 0)
-            && balancer.has_cold_capacity(NOW + 10_000_000, NodeId(0), 3, 0)
+        !balancer.slow_start_allows(NOW, NodeId(0), 3, 0)
+            && balancer.slow_start_allows(NOW + 10_000_000, NodeId(0), 3, 0)
     );
 }
 
@@ -101,13 +101,13 @@
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, NOW)]);
     balancer.statistics.mean_work_rate = 0.1;
     assert!(
-        !balancer.has_cold_capacity(NOW, NodeId(0), 1, 0)
-            && balancer.has_cold_capacity(NOW + 1_000_000, NodeId(0), 1, 0)
+        !balancer.slow_start_allows(NOW, NodeId(0), 1, 0)
+            && balancer.slow_start_allows(NOW + 1_000_000, NodeId(0), 1, 0)
     );
     balancer.nodes[NodeId(0)].work_sent.push(NOW + 1_000_000, 100_000.0);
     assert!(
-        !balancer.has_cold_capacity(NOW + 1_500_000, NodeId(0), 1, 0)
-            && balancer.has_cold_capacity(NOW + 2_000_000, NodeId(0), 1, 0)
+        !balancer.slow_start_allows(NOW + 1_500_000, NodeId(0), 1, 0)
+            && balancer.slow_start_allows(NOW + 2_000_000, NodeId(0), 1, 0)
     );
 }
 
@@ -117,8 +117,8 @@
     balancer.statistics.mean_work_rate = 0.1;
     balancer.nodes[NodeId(0)].work_sent.push(NOW, 400_000.0);
     // What was sent leaves the window after 3 s.
-    assert!(!balancer.has_cold_capacity(NOW + 2_900_000, NodeId(0), 1, 0));
-    assert!(balancer.has_cold_capacity(NOW + 3_100_000, NodeId(0), 1, 0));
+    assert!(!balancer.slow_start_allows(NOW + 2_900_000, NodeId(0), 1, 0));
+    assert!(balancer.slow_start_allows(NOW + 3_100_000, NodeId(0), 1, 0));
 }
 
 #[test]
@@ -155,16 +155,16 @@
 fn a_non_idempotent_shard_request_avoids_a_node_that_fails_a_tenth_of_its_attempts() {
     let mut balancer = balancer(Idempotency::NonIdempotent);
     for offset in 0..10 {
-        balancer.learn(NOW + offset, observation(0, 0, AttemptOutcome::Succeeded, 9));
+        balancer.record_observation(NOW + offset, observation(0, 0, AttemptOutcome::Succeeded, 9));
     }
-    balancer.learn(NOW + 10, observation(0, 0, AttemptOutcome::ConnectionLost, 9));
-    balancer.learn(NOW + 11, observation(0, 0, AttemptOutcome::Succeeded, 9));
+    balancer.record_observation(NOW + 10, observation(0, 0, AttemptOutcome::ConnectionLost, 9));
+    balancer.record_observation(NOW + 11, observation(0, 0, AttemptOutcome::Succeeded, 9));
     assert_eq!(balancer.preference(NOW + 11, NodeId(0), 0), Preference::Healthy);
-    balancer.learn(NOW + 12, observation(0, 0, AttemptOutcome::ConnectionLost, 9));
-    balancer.learn(NOW + 13, observation(0, 0, AttemptOutcome::Succeeded, 9));
+    balancer.record_observation(NOW + 12, observation(0, 0, AttemptOutcome::ConnectionLost, 9));
+    balancer.record_observation(NOW + 13, observation(0, 0, AttemptOutcome::Succeeded, 9));
     assert_eq!(balancer.preference(NOW + 13, NodeId(0), 0), Preference::Degraded);
     assert_eq!(
-        balancer.preference(NOW + 13 + RECENT, NodeId(0), 0),
+        balancer.preference(NOW + 13 + RECENT_WINDOW, NodeId(0), 0),
         Preference::Healthy,
         "failures are forgotten in time"
     );
--- a/crates/balancer/src/policy/tests/slow_start.rs
+++ b/crates/balancer/src/policy/tests/slow_start.rs
@@ -266,9 +266,9 @@
 fn a_batch_to_a_warming_node_carries_no_more_than_fits_into_the_window() {
     // 1.5 x 0.2 x 1 s / 10 routers is 30 ms of work: three shard requests of four.
     let balancer = balancer_with_warming_node(10.0);
-    assert_eq!(balancer.cold_batch_limit(NOW, NodeId(0), 0, 0, 4), 3);
-    assert_eq!(balancer.cold_batch_limit(NOW, NodeId(0), 2, 0, 4), 1);
-    assert_eq!(balancer.cold_batch_limit(NOW, NodeId(1), 0, 0, 4), 4, "node 1 is warm");
+    assert_eq!(balancer.slow_start_batch_limit(NOW, NodeId(0), 0, 0, 4), 3);
+    assert_eq!(balancer.slow_start_batch_limit(NOW, NodeId(0), 2, 0, 4), 1);
+    assert_eq!(balancer.slow_start_batch_limit(NOW, NodeId(1), 0, 0, 4), 4, "node 1 is warm");
 }
 
 #[test]
@@ -277,7 +277,7 @@
     // 0.02 shard requests in a millisecond are 0.2 of a core, twice an equal part: 60 ms of work in a window.
     balancer.statistics.mean_request_rate = 0.00002;
     assert!(
-        balancer.has_cold_capacity(NOW, NodeId(0), 6, 0) && !balancer.has_cold_capacity(NOW, NodeId(0), 7, 0)
+        balancer.slow_start_allows(NOW, NodeId(0), 6, 0) && !balancer.slow_start_allows(NOW, NodeId(0), 7, 0)
     );
 }
 
@@ -288,7 +288,7 @@
     balancer.statistics.work_sent.push_times(NOW - 1, 100_000.0, 10);
     balancer.refresh_statistics(NOW);
     assert!((balancer.statistics.mean_utilization() - 0.05).abs() < 1e-9);
-    assert!(!balancer.has_cold_capacity(NOW, NodeId(0), 4, 0));
+    assert!(!balancer.slow_start_allows(NOW, NodeId(0), 4, 0));
 }
 
 #[test]
@@ -297,8 +297,8 @@
     balancer.statistics.mean_work_rate = 0.1;
     balancer.nodes[NodeId(0)].work_sent.push_times(NOW + 1, 10_000.0, 4);
     // 40 ms at 1.5 x 0.2 x 0.1 to 1.5 x 0.5 x 0.1 of the time take less than 1 s and more than 0.5 s.
-    assert!(!balancer.has_cold_capacity(NOW + 500_000, NodeId(0), 1, 0));
-    assert!(balancer.has_cold_capacity(NOW + 1_100_000, NodeId(0), 1, 0));
+    assert!(!balancer.slow_start_allows(NOW + 500_000, NodeId(0), 1, 0));
+    assert!(balancer.slow_start_allows(NOW + 1_100_000, NodeId(0), 1, 0));
 }
 
 #[test]
@@ -313,9 +313,9 @@
     balancer.nodes[NodeId(0)].work_sent.push(later, 1_000_000.0);
     balancer.nodes[NodeId(1)].work_sent.push(later - 100_000, 10_000.0);
     balancer.nodes[NodeId(1)].work_sent.push(later - 90_000, 10_000.0);
-    assert!(!balancer.has_cold_capacity(later, NodeId(0), 1, 0), "its start is listed: the window is spent");
-    assert!(balancer.has_cold_capacity(later, NodeId(1), 1, 0));
-    assert_eq!(balancer.cold_batch_limit(later, NodeId(1), 0, 0, 4), 4);
+    assert!(!balancer.slow_start_allows(later, NodeId(0), 1, 0), "its start is listed: the window is spent");
+    assert!(balancer.slow_start_allows(later, NodeId(1), 1, 0));
+    assert_eq!(balancer.slow_start_batch_limit(later, NodeId(1), 0, 0, 4), 4);
 }
 
 #[test]
