--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -3,8 +3,9 @@
 use super::rig::*;
 use super::*;
 
-/// A query of four shard requests with a minimum; the nodes of `rejecting` rejected attempts recently.
-fn partial_query(minimum: f64, rejecting: &[usize]) -> Balancer {
+/// A balancer with a query of four shard requests and a minimum completeness. The nodes in `rejecting` rejected
+/// attempts recently.
+fn balancer_with_partial_query(minimum: f64, rejecting: &[usize]) -> Balancer {
     let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
         settings.classes[0].completeness_minimum = minimum;
         settings.classes[0].partial_value = 0.9;
@@ -18,17 +19,17 @@
     balancer
 }
 
-fn abandoned(balancer: &Balancer) -> usize {
+fn count_abandoned(balancer: &Balancer) -> usize {
     (1..5).filter(|&id| balancer.queries[ShardRequestId(id)].is_abandoned()).count()
 }
 
 #[test]
-fn a_query_waits_at_the_concurrency_limit_and_is_rejected_in_the_end() {
+fn a_query_waits_at_the_concurrency_limit_and_is_rejected_at_its_latency_objective() {
     let mut balancer = balancer(Idempotency::NonIdempotent);
     arrive(&mut balancer, 0, 12);
     assert_eq!(decide(&mut balancer, NOW).len(), 12);
     arrive(&mut balancer, 20, 6);
-    assert!(decide(&mut balancer, NOW).is_empty(), "four places are left for six shard requests");
+    assert!(decide(&mut balancer, NOW).is_empty(), "capacity is left for four of six shard requests");
     assert_eq!(decide(&mut balancer, NOW + 999_000).last().map(String::as_str), Some("20 Rejected(0)"));
 }
 
@@ -45,9 +46,10 @@
         let at_once = decide(&mut balancer, NOW).len();
         (at_once, at_once + decide(&mut balancer, NOW + 900_000).len())
     };
-    let (few, many) = ([&[1.0][..], &[0.0; 99]].concat(), [[1.0; 25], [0.0; 25]].concat());
-    assert_eq!(sends(&few, 2), (4, 4));
-    assert_eq!(sends(&many, 2), (2, 2));
+    let (few_rejections, many_rejections) =
+        ([&[1.0][..], &[0.0; 99]].concat(), [[1.0; 25], [0.0; 25]].concat());
+    assert_eq!(sends(&few_rejections, 2), (4, 4));
+    assert_eq!(sends(&many_rejections, 2), (2, 2));
     let mut balancer =
         balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(1));
     balancer.admission.paced_until = NOW + 1;
@@ -56,7 +58,7 @@
 }
 
 #[test]
-fn the_last_try_of_a_client_shows_how_much_of_the_latency_objective_has_passed() {
+fn the_last_retry_of_a_client_shows_how_much_of_the_latency_objective_has_passed() {
     let mut balancer =
         balancer_with(Idempotency::Idempotent, |settings| settings.classes[0].deadline = 3_000_000);
     balancer.query_arrived(NOW, &query(0, NOW + 2_000_000, 1));
@@ -90,7 +92,7 @@
     arrive(&mut balancer, 0, 2);
     assert_eq!(decide(&mut balancer, NOW).len(), 2);
     end_attempt(&mut balancer, NOW + 5, attempt(1, 0), NodeId(0), AttemptOutcome::ConnectionLost, 5);
-    assert!(decide(&mut balancer, NOW + 5).is_empty(), "no retry while nothing was answered");
+    assert!(decide(&mut balancer, NOW + 5).is_empty(), "no retry before the first answer");
     end_attempt(&mut balancer, NOW + 9, attempt(2, 0), NodeId(1), AttemptOutcome::ConnectionLost, 9);
     assert_eq!(decide(&mut balancer, NOW + 9), ["0 Rejected(0)"]);
     balancer.query_arrived(NOW + 20, &QueryArrival { is_retry: true, ..query(10, NOW + 3_000_000, 2) });
@@ -111,7 +113,7 @@
 }
 
 #[test]
-fn while_nodes_keep_crashing_a_canary_batch_goes_ahead() {
+fn while_nodes_keep_crashing_a_canary_batch_is_sent_first() {
     let mut balancer = balancer(Idempotency::Idempotent);
     balancer.admission.crashes.push_times(NOW, 1.0, CANARY_CRASH_THRESHOLD);
     arrive(&mut balancer, 0, 2);
@@ -123,27 +125,27 @@
 #[test]
 fn surplus_is_abandoned_where_all_replicas_reject_attempts() {
     let abandoned_of = |minimum, rejecting: &[usize]| {
-        let mut balancer = partial_query(minimum, rejecting);
+        let mut balancer = balancer_with_partial_query(minimum, rejecting);
         balancer.abandon_surplus(NOW, QueryId(0));
-        abandoned(&balancer)
+        count_abandoned(&balancer)
     };
-    // Half of what the minimum spares is a quarter: one shard request of four.
+    // Half of the weight that the minimum does not require is a quarter: one shard request of four.
     assert_eq!((abandoned_of(0.5, &[0, 1]), abandoned_of(0.5, &[0]), abandoned_of(1.0, &[0, 1])), (1, 0, 0));
     // An old rejection does not count, nor does one that was followed by an answer.
-    let mut balancer = partial_query(0.5, &[0, 1]);
+    let mut balancer = balancer_with_partial_query(0.5, &[0, 1]);
     balancer.nodes[NodeId(0)].rejection_backoff_until = NOW - RECENT_WINDOW - 1;
     balancer.abandon_surplus(NOW, QueryId(0));
-    assert_eq!(abandoned(&balancer), 0);
+    assert_eq!(count_abandoned(&balancer), 0);
 }
 
 #[test]
 fn a_rejected_shard_request_of_an_incomplete_query_is_abandoned() {
-    let mut balancer = partial_query(0.5, &[]);
+    let mut balancer = balancer_with_partial_query(0.5, &[]);
     assert_eq!(decide(&mut balancer, NOW).len(), 4);
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Rejected, 9);
     balancer.abandon_surplus(NOW + 9, QueryId(0));
-    assert_eq!(abandoned(&balancer), 0, "another replica may have capacity");
-    let mut balancer = partial_query(0.0, &[]);
+    assert_eq!(count_abandoned(&balancer), 0, "another replica may have capacity");
+    let mut balancer = balancer_with_partial_query(0.0, &[]);
     decide(&mut balancer, NOW);
     balancer.queries[ShardRequestId(4)].abandon();
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Rejected, 9);
--- a/crates/balancer/src/policy/tests/completion.rs
+++ b/crates/balancer/src/policy/tests/completion.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn weights_that_rounding_leaves_short_of_one_fail_no_query() {
+fn weights_that_add_up_to_less_than_one_by_rounding_do_not_fail_a_query() {
     let mut balancer =
         balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(4));
     for id in [0, 100] {
--- a/crates/balancer/src/policy/tests/discovery.rs
+++ b/crates/balancer/src/policy/tests/discovery.rs
@@ -40,7 +40,11 @@
         end_attempt(&mut balancer, NOW + 2, attempt(11, 0), NodeId(0), AttemptOutcome::Succeeded, 2);
         assert_eq!(decide(&mut balancer, NOW + 2), ["10 Complete", "release 0"]);
         update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Ready, 0)]);
-        assert_eq!(balancer.preference(NOW + 3, NodeId(0), 0), Preference::Healthy, "its id starts clean");
+        assert_eq!(
+            balancer.preference(NOW + 3, NodeId(0), 0),
+            Preference::Healthy,
+            "a node that reuses the id has no failures"
+        );
         assert!(decide(&mut balancer, NOW + 3).is_empty());
     }
     // A draining node is not removed: its attempts may still be answered.
--- a/crates/balancer/src/policy/tests/endpoint_health.rs
+++ b/crates/balancer/src/policy/tests/endpoint_health.rs
@@ -1,10 +1,10 @@
-//! What other front ends are told of nodes.
+//! Endpoint health and load shedding, for front ends that pass decisions on to other proxies.
 
 use super::rig::*;
 use super::*;
 
 #[test]
-fn endpoint_health_is_what_decisions_go_by() {
+fn endpoint_health_reports_warm_up_drain_and_removal() {
     let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
         settings.rules.cold_overload_window = 1_000_000;
         settings.rules.cold_overload_multiple = 2.0;
@@ -14,8 +14,8 @@
     });
     let nodes = [(0, EndpointState::Ready, NOW - 6_000_000), (1, EndpointState::Draining, 0)];
     assert!(update_endpoints(&mut balancer, EndpointUpdate::Incremental, &nodes).0.is_empty());
-    // A quarter at first, and half of the rest 5 s after the window of 1 s: 0.25 + 0.75 / 2 of a core, twice
-    // that.
+    // At an age of 6 s the share is that of 5 s, before the window of 1 s: 2 x (0.25 + 0.75 x 5 s / 10 s), over 1.
+    // At an age of 1 s it is 2 x 0.25.
     assert_eq!(balancer.endpoint_health(NOW, NodeId(0)), EndpointHealth::Healthy { capacity: 32.0 });
     assert_eq!(
         balancer.endpoint_health(NOW - 5_000_000, NodeId(0)),
@@ -36,14 +36,14 @@
     assert_eq!(balancer.endpoint_health(NOW, NodeId(0)), EndpointHealth::Healthy { capacity: 16.0 });
     balancer.load_reported(NOW, NodeId(0), &report(4.0, 5.0));
     let EndpointHealth::EjectedUntil(until) = balancer.endpoint_health(NOW, NodeId(0)) else {
-        panic!("not ejected")
+        panic!("node 0 is not ejected")
     };
     assert!(until > NOW);
     // After the ejection it is suspect until most requests are answered.
     assert!(matches!(balancer.endpoint_health(until, NodeId(0)), EndpointHealth::Suspect { .. }));
     balancer.load_reported(until, NodeId(0), &report(9.0, 1.0));
     assert!(matches!(balancer.endpoint_health(until, NodeId(0)), EndpointHealth::Healthy { .. }));
-    // An unreachable node warms up again where the rule on cold overload applies.
+    // An unreachable node counts as warming up where the cold-overload rule applies.
     balancer.load_reported(
         until,
         NodeId(1),
--- a/crates/balancer/src/policy/tests/fleet.rs
+++ b/crates/balancer/src/policy/tests/fleet.rs
@@ -1,6 +1,6 @@
-//! A small fleet on a simulated clock: 40 replica sets of one shard with two nodes each and 300 routers, of
-//! which this is one, with a class of one shard request and one of twenty. Nodes answer in 20 ms or reject in
-//! 3 ms.
+//! A small fleet on a simulated clock: 40 replica sets, each with one shard and two nodes. The balancer under test is
+//! one of 300 routers. Queries of class 0 have one shard request, those of class 1 twenty. Nodes answer in 20 ms or
+//! reject in 3 ms.
 
 use super::rig::*;
 use super::*;
@@ -17,6 +17,7 @@
 
 struct Fleet {
     balancer: Balancer,
+    /// The nodes that reject every attempt.
     rejecting: Vec<usize>,
     pending: Vec<PendingEnd>,
     /// How many attempts were sent, by shard request.
@@ -75,7 +76,7 @@
 }
 
 impl Fleet {
-    /// `nodes` are the replica set of each node and when it started.
+    /// A fleet with the replica set and the start time of each node, and the nodes that reject every attempt.
     fn new(nodes: &[(usize, Micros)], rejecting: &[usize]) -> Fleet {
         let mut balancer = Balancer::new(3, settings());
         balancer.endpoint_update_started(NOW, EndpointUpdate::Cached);
@@ -87,9 +88,9 @@
         Fleet { balancer, rejecting: rejecting.to_vec(), pending, attempts, now: NOW, in_time }
     }
 
-    /// Plays 22 s, in the first 20 of which a query of each of `classes` arrives each second. Returns how
-    /// many queries were not complete in time.
-    fn play(mut self, classes: &[usize]) -> usize {
+    /// Runs the fleet for 22 s. In each of the first 20 s a query of each of `classes` arrives. Returns how many
+    /// queries were not complete in time.
+    fn run(mut self, classes: &[usize]) -> usize {
         let mut balancer = std::mem::take(&mut self.balancer);
         for interval in 0..4_400 {
             self.now = NOW + interval * 5_000;
@@ -132,7 +133,7 @@
     let new = (0..40).map(|replica_set| (replica_set, NOW - 1_000_000));
     let nodes: Vec<_> = old.chain(new).collect();
     for classes in [&[0][..], &[1], &[0, 1]] {
-        assert_eq!(Fleet::new(&nodes, &[]).play(classes), 0, "{classes:?}");
+        assert_eq!(Fleet::new(&nodes, &[]).run(classes), 0, "{classes:?}");
     }
 }
 
@@ -140,6 +141,6 @@
 fn rejecting_nodes_delay_no_class_at_a_router_with_little_load() {
     let nodes: Vec<_> = (0..80).map(|node| (node % 40, 0)).collect();
     for classes in [&[0][..], &[1], &[0, 1]] {
-        assert_eq!(Fleet::new(&nodes, &[3, 4, 5, 6]).play(classes), 0, "{classes:?}");
+        assert_eq!(Fleet::new(&nodes, &[3, 4, 5, 6]).run(classes), 0, "{classes:?}");
     }
 }
--- a/crates/balancer/src/policy/tests/health.rs
+++ b/crates/balancer/src/policy/tests/health.rs
@@ -1,10 +1,10 @@
-//! What attempts teach about nodes.
+//! Node health, ejection and concurrency limits from the outcomes of attempts.
 
 use super::rig::*;
 use super::*;
 
 #[test]
-fn a_failed_connection_is_not_held_against_a_node_that_answered_meanwhile() {
+fn a_connect_failure_does_not_eject_a_node_that_answered_meanwhile() {
     for (answered, ejected) in [(NOW + 100_000, false), (NOW - 100_000, true)] {
         let mut balancer = balancer(Idempotency::Idempotent);
         balancer.record_observation(answered, observation(0, 0, AttemptOutcome::Succeeded, 5));
@@ -63,7 +63,8 @@
     assert!(balancer.slow_start_allows(NOW, NodeId(0), 1, 0));
     balancer.record_observation(NOW, observation(0, 0, AttemptOutcome::ConnectFailed, 5));
     assert!(!balancer.slow_start_allows(NOW, NodeId(0), 1, 0));
-    // Unreachable after a lost connection counts as a crash; an answer in time shows that the node is warm.
+    // A connect failure counts as a crash only after a lost connection, and only an answer in time shows that the node
+    // is warm.
     assert!(
         balancer.nodes[NodeId(0)].class_health(0).ejected_until > NOW
             && balancer.admission.crashes.count(0) == 0
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn cross_zone_latency_is_not_held_against_a_node() {
+fn cross_zone_latency_does_not_reduce_the_concurrency_limit() {
     let mut balancer = balancer(Idempotency::Idempotent);
     balancer.statistics.cross_zone_latencies = vec![0, 400_000];
     balancer.nodes[NodeId(1)].zone = 1;
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn idle_connections_are_distrusted_when_only_long_idle_times_end_in_losses() {
+fn the_maximum_idle_time_is_the_shortest_after_which_losses_are_frequent() {
     let mut balancer = balancer(Idempotency::Idempotent);
     for _ in 0..8 {
         balancer.record_idle_time(NOW, false, 500_000);
@@ -101,12 +102,12 @@
     }
     assert_eq!(
         balancer.statistics.max_idle_time, 200_000,
-        "losses after short idle times too are not put down to long ones"
+        "losses that also follow short idle times are not attributed to long ones"
     );
 }
 
 #[test]
-fn a_silence_is_not_held_against_a_class_that_was_answered() {
+fn a_late_attempt_does_not_eject_a_node_for_a_class_that_got_an_answer_since() {
     let mut balancer = balancer(Idempotency::Idempotent);
     balancer.classes.push(balancer.classes[0].clone());
     balancer.nodes[NodeId(0)].class_health_mut(1).last_success_at = NOW;
--- a/crates/balancer/src/policy/tests/mod.rs
+++ b/crates/balancer/src/policy/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Each test builds the state that it needs and checks one behaviour.
+//! Tests of the policy. Each builds the state that it needs and checks one behaviour.
 
 mod admission;
 mod completion;
--- a/crates/balancer/src/policy/tests/retries.rs
+++ b/crates/balancer/src/policy/tests/retries.rs
@@ -35,10 +35,10 @@
 
 #[test]
 fn a_shard_request_with_an_idempotency_key_is_retried_only_within_the_window() {
-    let repeat = |settings: &mut Settings| settings.classes[0].idempotency_window = 500_000;
+    let set_window = |settings: &mut Settings| settings.classes[0].idempotency_window = 500_000;
     assert_eq!(
         after_first_attempt(
-            &mut balancer_with(Idempotency::Keyed, repeat),
+            &mut balancer_with(Idempotency::Keyed, set_window),
             AttemptOutcome::ConnectionLost,
             NOW + 400_000
         ),
@@ -46,7 +46,7 @@
     );
     assert_eq!(
         after_first_attempt(
-            &mut balancer_with(Idempotency::Keyed, repeat),
+            &mut balancer_with(Idempotency::Keyed, set_window),
             AttemptOutcome::ConnectionLost,
             NOW + 499_000
         ),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn attempts_end_at_the_maximum_and_an_idempotent_query_is_then_rejected() {
+fn an_idempotent_query_is_rejected_after_the_maximum_number_of_attempts() {
     let mut balancer =
         balancer_with(Idempotency::Idempotent, |settings| settings.limits.max_attempts = Some(1));
     assert_eq!(
--- a/crates/balancer/src/policy/tests/rig.rs
+++ b/crates/balancer/src/policy/tests/rig.rs
@@ -1,4 +1,4 @@
-//! A balancer of two nodes, what it is told, and what it asks for.
+//! Helpers of the tests: a balancer with two nodes, the events that it receives, and a recorder of its actions.
 
 use super::*;
 pub use crate::{
@@ -6,7 +6,7 @@
     LimitSettings, RuleSettings, Settings, ShardRequestArrival, ShardSettings, TenantSettings,
 };
 
-/// Records what the balancer asks for.
+/// Records the actions that the balancer asks for, one line each.
 #[derive(Default)]
 pub struct Recorder(pub Vec<String>);
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// When most tests take place.
+/// The time at which most tests begin.
 pub const NOW: Micros = 100_000_000;
 
 /// A balancer with one service class, two replica sets and nodes 0 and 1 that each hold every shard.
@@ -40,7 +40,7 @@
     balancer_with(idempotency, |_| {})
 }
 
-/// The same with settings that `adjust` changes.
+/// Like `balancer`, with settings that `adjust` changes.
 pub fn balancer_with(idempotency: Idempotency, adjust: impl FnOnce(&mut Settings)) -> Balancer {
     let class = ClassSettings { idempotency, latency_objective: Some(1_000_000), ..Default::default() };
     let mut settings = Settings { classes: vec![class], ..Default::default() };
@@ -57,7 +57,7 @@
     balancer
 }
 
-/// Reports an endpoint update of nodes, their states and when they started.
+/// Reports an endpoint update at `NOW` with the id, the state and the start time of each node, and returns the actions.
 pub fn update_endpoints(
     balancer: &mut Balancer, update: EndpointUpdate, nodes: &[(usize, EndpointState, Micros)],
 ) -> Recorder {
@@ -98,7 +98,7 @@
     AttemptId::new(ShardRequestId(shard_request), AttemptNumber(number))
 }
 
-/// Query `id` arrives with shard requests `id + 1 ..`, all for shard 0.
+/// Reports the arrival of query `id`, due in 3 s, with shard requests `id + 1 ..`, all for shard 0.
 pub fn arrive(balancer: &mut Balancer, id: usize, shard_requests: usize) {
     balancer.query_arrived(NOW, &query(id, NOW + 3_000_000, shard_requests));
     for index in 0..shard_requests {
@@ -115,20 +115,20 @@
     balancer.attempt_ended(now, &AttemptEnd { attempt, node, outcome, latency, load: &[] });
 }
 
-/// What an attempt at a node shows of it.
+/// The observation of an attempt at a node.
 pub fn observation(node: usize, class: usize, outcome: AttemptOutcome, latency: Micros) -> Observation {
     Observation { node: NodeId(node), class, outcome, latency }
 }
 
-/// Decides, and returns what the balancer asks for.
+/// Lets the balancer decide, and returns the actions that it asks for.
 pub fn decide(balancer: &mut Balancer, now: Micros) -> Vec<String> {
     let mut recorder = Recorder::default();
     balancer.decide(now, &mut recorder);
     recorder.0
 }
 
-/// A query of one shard request arrives, its first attempt (at node 0) ends with `outcome`, and the balancer
-/// decides.
+/// Reports the arrival of a query of one shard request and the end of its first attempt (at node 0) with `outcome`,
+/// and returns the actions of the next decision.
 pub fn after_first_attempt(balancer: &mut Balancer, outcome: AttemptOutcome, now: Micros) -> Vec<String> {
     arrive(balancer, 10, 1);
     assert_eq!(decide(balancer, NOW), ["send 11 0"]);
--- a/crates/balancer/src/policy/tests/selection.rs
+++ b/crates/balancer/src/policy/tests/selection.rs
@@ -1,4 +1,4 @@
-//! Which node gets a shard request.
+//! Selection of the node for a shard request: preference, capacity and slow start.
 
 use super::rig::*;
 use super::*;
@@ -16,7 +16,7 @@
 
 #[test]
 fn routers_without_measurements_start_at_different_nodes() {
-    let first = |seed| {
+    let first_decision = |seed| {
         let mut balancer = balancer(Idempotency::Idempotent);
         balancer.random = fastrand::Rng::with_seed(seed);
         balancer.nodes.clear();
@@ -28,8 +28,8 @@
         arrive(&mut balancer, 0, 1);
         decide(&mut balancer, NOW)
     };
-    let at_one = (0..100).filter(|&seed| first(seed) == ["send 1 1"]).count();
-    assert!((30..=70).contains(&at_one), "{at_one} of 100 begin at node 1");
+    let starts_at_node_1 = (0..100).filter(|&seed| first_decision(seed) == ["send 1 1"]).count();
+    assert!((30..=70).contains(&starts_at_node_1), "{starts_at_node_1} of 100 routers start at node 1");
 }
 
 #[test]
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_filled_node_is_used_again_for_a_full_batch() {
+fn a_node_that_reached_its_limit_is_used_again_only_for_a_full_batch() {
     let mut balancer =
         balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(4));
     arrive(&mut balancer, 0, 8);
@@ -65,7 +65,7 @@
     assert_eq!(balancer.capacity(NodeId(0), 0, 0), 4);
 }
 
-/// One of three routers, of which a node that starts now may be sent 400 ms of work in 3 s.
+/// The balancer of one of three routers. It may send node 0, which starts now, 400 ms of work in 3 s.
 fn one_of_three_routers_with_a_warming_node() -> Balancer {
     let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
         settings.rules.warm_up = 10_000_000;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn among_many_routers_a_warming_node_gets_a_batch_once_its_allowance_is_saved_up() {
+fn among_many_routers_a_warming_node_gets_a_batch_once_the_allowance_has_accrued() {
     let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
         settings.rules.warm_up = 10_000_000;
         settings.rules.cold_overload_window = 3_000_000;
@@ -116,26 +116,29 @@
     let mut balancer = one_of_three_routers_with_a_warming_node();
     balancer.statistics.mean_work_rate = 0.1;
     balancer.nodes[NodeId(0)].work_sent.push(NOW, 400_000.0);
-    // What was sent leaves the window after 3 s.
+    // The work that was sent leaves the window after 3 s.
     assert!(!balancer.slow_start_allows(NOW + 2_900_000, NodeId(0), 1, 0));
     assert!(balancer.slow_start_allows(NOW + 3_100_000, NodeId(0), 1, 0));
 }
 
 #[test]
 fn the_mean_work_rate_counts_from_the_start_of_the_router() {
-    // Half a second of work at two nodes within a second of the first decision, or within ten.
-    let average = |up: Micros| {
+    // 0.5 s of work for two nodes, with the first decision 1 s, 10 s or 90 s ago. The mean is over 10 s at most.
+    let mean_work_rate_after = |uptime: Micros| {
         let mut balancer = balancer(Idempotency::Idempotent);
-        balancer.refresh_statistics(NOW - up);
+        balancer.refresh_statistics(NOW - uptime);
         balancer.statistics.work_sent.push(NOW - 10, 500_000.0);
         balancer.refresh_statistics(NOW);
         balancer.statistics.mean_work_rate
     };
-    assert_eq!((average(1_000_000), average(10_000_000), average(90_000_000)), (0.25, 0.025, 0.025));
+    assert_eq!(
+        (mean_work_rate_after(1_000_000), mean_work_rate_after(10_000_000), mean_work_rate_after(90_000_000)),
+        (0.25, 0.025, 0.025)
+    );
 }
 
 #[test]
-fn among_many_routers_a_small_limit_is_a_pause_and_a_suspect_node_gets_one_shard_request() {
+fn among_many_routers_a_limit_below_one_batch_is_a_pause_and_a_suspect_node_gets_one_shard_request() {
     let mut balancer = balancer_with(Idempotency::Idempotent, |settings| {
         settings.routers = 64.0;
         settings.batch.max_shard_requests = Some(4);
@@ -166,6 +169,6 @@
     assert_eq!(
         balancer.preference(NOW + 13 + RECENT_WINDOW, NodeId(0), 0),
         Preference::Healthy,
-        "failures are forgotten in time"
+        "failures older than the window do not count"
     );
 }
