--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -114,8 +114,8 @@
         let shard_requests = query.current_step().to_vec();
         let min_kept_weight = (minimum + required) / 2.0;
         let mut possible_weight = self.queries.progress(&shard_requests).possible_weight;
-        for id in shard_requests {
-            let request = &self.queries[id];
+        for request_id in shard_requests {
+            let request = &self.queries[request_id];
             let is_rejecting = |&node: &NodeId| self.nodes[node].has_rejected_since(now - RECENT_WINDOW);
             let is_partial = possible_weight + WEIGHT_TOLERANCE < required;
             let was_rejected = || is_partial && request.attempts.last().is_some_and(is_rejecting);
@@ -123,7 +123,7 @@
             let is_surplus = request.is_idle() && possible_weight - request.weight >= min_kept_weight;
             if is_surplus && (was_rejected() || all_replicas_reject()) {
                 possible_weight -= request.weight;
-                self.queries[id].abandon();
+                self.queries[request_id].abandon();
             }
         }
     }
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -76,18 +76,18 @@
         StageResult::Finish(Completion::Rejected { retry_after })
     }
 
-    /// Ends a query that waits for admission and can no longer be answered in time, or whose answer would have no
-    /// value.
+    /// Ends a query that can no longer be answered in time: by its deadline, or by its latency objective where a late
+    /// answer has no value. A query that waits for admission also needs its expected duration until then.
     pub(super) fn expire(&mut self, now: Micros, id: QueryId, _actions: &mut dyn Actions) -> StageResult {
         let query = &self.queries[id];
         let class = &self.classes[query.class];
         let has_late_value = class.late_value > 0.0;
         let answer_by = if has_late_value { query.deadline } else { query.latency_objective };
-        let has_no_value = match query.admitted_at {
+        let is_out_of_time = match query.admitted_at {
             None => now + class.expected_duration > answer_by - self.answer_margin(),
             Some(_) => !has_late_value && now >= query.latency_objective,
         };
-        let is_expired = has_no_value || now >= query.deadline - self.answer_margin();
+        let is_expired = is_out_of_time || now >= query.deadline - self.answer_margin();
         if is_expired { self.fail_fast(id) } else { StageResult::Continue }
     }
 }
--- a/crates/balancer/src/policy/discovery.rs
+++ b/crates/balancer/src/policy/discovery.rs
@@ -33,11 +33,11 @@
             discovery.next_request_at = now + interval.max(1_000_000);
         }
         let next = now + self.deployment.decision_interval.max(1_000);
-        let at = if has_open_queries { next } else { discovery.next_request_at.max(next) };
+        let expires_at = if has_open_queries { next } else { discovery.next_request_at.max(next) };
         let is_needed = poll_interval.is_some() || has_open_queries;
-        if is_needed && discovery.timer_at.is_none_or(|expiry| expiry > at || expiry <= now) {
-            actions.set_timer(at - now, 0);
-            discovery.timer_at = Some(at);
+        if is_needed && discovery.timer_at.is_none_or(|expiry| expiry > expires_at || expiry <= now) {
+            actions.set_timer(expires_at - now, 0);
+            discovery.timer_at = Some(expires_at);
         }
     }
 }
--- a/crates/balancer/src/policy/health.rs
+++ b/crates/balancer/src/policy/health.rs
@@ -171,8 +171,8 @@
             if now - node.limit_reduced_at > latency {
                 let factor =
                     if limit > batch { 0.8 } else { (target_latency / latency as f64).clamp(0.5, 0.8) };
-                let used = limit.min(node.in_flight.len() as f64 + 1.0);
-                node.concurrency_limit = (used * factor).max(min_limit);
+                let used_limit = limit.min(node.in_flight.len() as f64 + 1.0);
+                node.concurrency_limit = (used_limit * factor).max(min_limit);
                 node.limit_reduced_at = now;
             }
         } else if outcome == AttemptOutcome::Succeeded {
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Which node gets a shard request: preference, concurrency limits, slow start and zones.
+//! Selection of the node for a shard request: preference, concurrency limits, slow start and zones.
 
 use super::*;
 
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -4,7 +4,8 @@
 use super::*;
 
 impl Balancer {
-    /// Returns how far a node has warmed up and what the cold-overload rule allows; `None` for a warm node.
+    /// Returns since when a node has been warming up and the share of work that the cold-overload rule allows it;
+    /// `None` for a warm node.
     pub(super) fn slow_start(&self, now: Micros, id: NodeId) -> Option<SlowStart> {
         let (node, rule) = (&self.nodes[id], &self.deployment.cold_overload);
         let has_recent_start = node.started_at != 0 && now - node.started_at < rule.warm_up;
@@ -55,8 +56,8 @@
         (1..=wanted).take_while(fits).count()
     }
 
-    /// Whether only this router's share of a window limits the node. The cold-overload rule applies to nodes whose
-    /// start is listed, and an equal share must hold a batch at all.
+    /// Whether this router's share of a window is all that a node may be sent. This is so if its start is listed, since
+    /// only then the cold-overload rule is binding, and if an equal share holds a batch at all.
     fn is_limited_to_window(&self, slow_start: &SlowStart, class: usize) -> bool {
         slow_start.reason == WarmUpReason::RecentStart && self.equal_share_holds_batch(slow_start, class)
     }
--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which queries start, wait, or are rejected.
+//! Admission: queries that start, wait or are rejected, pacing, and canary attempts.
 
 use super::rig::*;
 use super::*;
@@ -35,7 +35,7 @@
 
 #[test]
 fn while_attempts_are_rejected_large_queries_are_paced() {
-    let sends = |rejections: &[f64], size: usize| {
+    let count_sent = |rejections: &[f64], size: usize| {
         let mut balancer =
             balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(1));
         for &rejected in rejections {
@@ -48,8 +48,8 @@
     };
     let (few_rejections, many_rejections) =
         ([&[1.0][..], &[0.0; 99]].concat(), [[1.0; 25], [0.0; 25]].concat());
-    assert_eq!(sends(&few_rejections, 2), (4, 4));
-    assert_eq!(sends(&many_rejections, 2), (2, 2));
+    assert_eq!(count_sent(&few_rejections, 2), (4, 4));
+    assert_eq!(count_sent(&many_rejections, 2), (2, 2));
     let mut balancer =
         balancer_with(Idempotency::Idempotent, |settings| settings.batch.max_shard_requests = Some(1));
     balancer.admission.paced_until = NOW + 1;
@@ -131,7 +131,7 @@
     };
     // Half of the weight that the minimum does not require is a quarter: one shard request of four.
     assert_eq!((abandoned_of(0.5, &[0, 1]), abandoned_of(0.5, &[0]), abandoned_of(1.0, &[0, 1])), (1, 0, 0));
-    // An old rejection does not count, nor does one that was followed by an answer.
+    // An old rejection does not count.
     let mut balancer = balancer_with_partial_query(0.5, &[0, 1]);
     balancer.nodes[NodeId(0)].rejection_backoff_until = NOW - RECENT_WINDOW - 1;
     balancer.abandon_surplus(NOW, QueryId(0));
--- a/crates/balancer/src/policy/tests/fleet.rs
+++ b/crates/balancer/src/policy/tests/fleet.rs
@@ -8,7 +8,7 @@
 
 /// The end of an attempt that has not been reported yet.
 struct PendingEnd {
-    at: Micros,
+    ends_at: Micros,
     attempt: AttemptId,
     node: NodeId,
     outcome: AttemptOutcome,
@@ -36,7 +36,7 @@
             (AttemptOutcome::Succeeded, 20_000)
         };
         let attempt = AttemptId::new(shard_request, AttemptNumber(*attempts));
-        self.pending.push(PendingEnd { at: self.now + latency, attempt, node, outcome, latency });
+        self.pending.push(PendingEnd { ends_at: self.now + latency, attempt, node, outcome, latency });
         *attempts += 1;
     }
     fn complete_query(&mut self, query: QueryId, completion: Completion) {
@@ -118,7 +118,8 @@
     }
 
     fn report_ends(&mut self, balancer: &mut Balancer) {
-        let (due, later) = std::mem::take(&mut self.pending).into_iter().partition(|end| end.at <= self.now);
+        let (due, later) =
+            std::mem::take(&mut self.pending).into_iter().partition(|end| end.ends_at <= self.now);
         self.pending = later;
         let due: Vec<PendingEnd> = due;
         for end in due {
--- a/crates/balancer/src/policy/tests/slow_start.rs
+++ b/crates/balancer/src/policy/tests/slow_start.rs
@@ -61,8 +61,8 @@
     now: Micros,
     random: fastrand::Rng,
     pending: Vec<PendingAttempt>,
-    /// When the shard requests were sent to node 0 since its restart.
-    sent_to_first_node: Vec<Micros>,
+    /// The time of each shard request that was sent to node 0 since its restart.
+    sent_to_node_0: Vec<Micros>,
 }
 
 impl Actions for FrontEnd {
@@ -71,7 +71,7 @@
         let attempt = attempt(shard_request.0, 0);
         self.pending.push(PendingAttempt { ends_at: self.now + latency, attempt, node, latency });
         if node == NodeId(0) {
-            self.sent_to_first_node.push(self.now);
+            self.sent_to_node_0.push(self.now);
         }
     }
     fn complete_query(&mut self, _query: QueryId, _completion: Completion) {}
@@ -81,7 +81,7 @@
 struct Router {
     balancer: Balancer,
     front_end: FrontEnd,
-    /// Its share of the traffic of all routers.
+    /// The share of this router in the traffic of all routers.
     share_of_traffic: f64,
     next_id: usize,
 }
@@ -102,7 +102,7 @@
                 now: NOW,
                 random: fastrand::Rng::with_seed(seed),
                 pending: Vec::new(),
-                sent_to_first_node: Vec::new(),
+                sent_to_node_0: Vec::new(),
             },
             share_of_traffic,
             next_id: 0,
@@ -153,7 +153,7 @@
         self.balancer.endpoint_update_started(now, EndpointUpdate::Incremental);
         self.balancer.endpoint_listed(now, &endpoint(0, 0, EndpointState::Ready, now));
         self.balancer.endpoint_update_finished(now, &mut Recorder::default());
-        self.front_end.sent_to_first_node.clear();
+        self.front_end.sent_to_node_0.clear();
     }
 }
 
@@ -170,10 +170,10 @@
 /// is divided among the routers by their weights.
 fn peak_load(seed: u64, rule: &ColdOverloadRule, weights: &[f64], traffic: Traffic) -> f64 {
     let total: f64 = weights.iter().sum();
-    let new = |(index, weight): (usize, &f64)| {
+    let new_router = |(index, weight): (usize, &f64)| {
         Router::new(seed * 1_000 + index as u64, rule, weights.len(), weight / total)
     };
-    let mut routers: Vec<Router> = weights.iter().enumerate().map(new).collect();
+    let mut routers: Vec<Router> = weights.iter().enumerate().map(new_router).collect();
     let restart_at = NOW + traffic.restart_after;
     let end = restart_at + rule.warm_up;
     for now in (NOW..end).step_by(DECISION_INTERVAL as usize) {
@@ -184,14 +184,14 @@
             router.run_interval(now, traffic.utilization[(now >= restart_at) as usize]);
         }
     }
-    let sent = routers.iter().flat_map(|router| &router.front_end.sent_to_first_node);
+    let sent = routers.iter().flat_map(|router| &router.front_end.sent_to_node_0);
     let mut sent: Vec<Micros> = sent.copied().collect();
     sent.sort_unstable();
-    let load = |(last, &at): (usize, &Micros)| {
+    let relative_load = |(last, &at): (usize, &Micros)| {
         let first = sent.partition_point(|&other| other <= at - rule.window);
         (last + 1 - first) as f64 / window_limit(rule, at - restart_at)
     };
-    sent.iter().enumerate().map(load).fold(0.0, f64::max)
+    sent.iter().enumerate().map(relative_load).fold(0.0, f64::max)
 }
 
 /// A strict rule with a window of 1 s.
