--- a/crates/query-router/src/router/tests/clients.rs
+++ b/crates/query-router/src/router/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Requests that are no queries, and clients that are slow.
+//! Tests of requests that are not queries, and of slow clients.
 
 use super::*;
 
@@ -10,16 +10,16 @@
         ("GET /api HTTP/1.1\r\n\r\n".to_string(), "405"),
         ("GET /else HTTP/1.1\r\n\r\n".to_string(), "404"),
         ("NONSENSE\r\n\r\n".to_string(), "400"),
-        (post("unheard-of", "t1", "{}"), "400"),
-        (post("look", "t1", "{"), "400"),
+        (query_request("unheard-of", "t1", "{}"), "400"),
+        (query_request("look", "t1", "{"), "400"),
         ("GET /-/ready HTTP/1.1\r\n\r\n".to_string(), "200"),
         ("GET /-/counters?all HTTP/1.1\r\n\r\n".to_string(), "200"),
     ] {
-        let client = rig.client();
+        let client = rig.connect_client();
         rig.receive(client, request.as_bytes());
         rig.decide();
         assert!(rig.written(client).starts_with(&format!("HTTP/1.1 {status}")), "{request}");
-        rig.end(client, 0);
+        rig.end_connection(client, 0);
         rig.peers.written.clear();
     }
     assert_eq!(rig.router.counters().decisions, decisions);
@@ -28,9 +28,9 @@
 #[test]
 fn a_client_that_expects_100_continue_gets_it() {
     let mut rig = Rig::new();
-    let client = rig.client();
+    let client = rig.connect_client();
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
-    let request = post("look", "t1", body).replacen("X-Qos", "Expect: 100-continue\r\nX-Qos", 1);
+    let request = query_request("look", "t1", body).replacen("X-Qos", "Expect: 100-continue\r\nX-Qos", 1);
     let head = request.len() - body.len();
     for end in [head - 1, head, head + 1, request.len()] {
         rig.receive(client, &request.as_bytes()[..end]);
@@ -40,51 +40,51 @@
 }
 
 #[test]
-fn a_request_that_is_never_complete_times_out() {
+fn an_incomplete_request_times_out() {
     let mut rig = Rig::new();
-    let client = rig.client();
+    let client = rig.connect_client();
     rig.receive(client, b"POST /api HT");
-    rig.pass(4_000_000);
+    rig.decide_and_advance(4_000_000);
     assert!(rig.written(client).starts_with("HTTP/1.1 408") && rig.peers.closed.contains(&client));
 }
 
 #[test]
-fn an_answer_that_is_not_read_times_out() {
+fn a_response_that_the_client_does_not_read_times_out() {
     let mut rig = Rig::new();
     rig.peers.writes_stall = true;
-    let client = rig.client();
+    let client = rig.connect_client();
     rig.receive(client, b"GET /-/ready HTTP/1.1\r\n\r\n");
-    rig.pass(1_900_000);
+    rig.decide_and_advance(1_900_000);
     assert_eq!(
         (rig.written(client).as_str(), rig.router.state.context.connections.clients().count()),
         ("HTTP/1.1 200", 1)
     );
-    rig.pass(200_000);
+    rig.decide_and_advance(200_000);
     assert_eq!(rig.router.state.context.connections.clients().count(), 0);
 }
 
-/// Service classes whose deadline is longer than a client that stops in the middle of a request may be kept.
+/// Creates a router whose service classes have a longer deadline than the timeout of an incomplete request.
 fn rig_with_long_deadlines() -> Rig<RecordingPeers> {
     Rig::with_config(&CONFIG.replace(r#""deadlineNs":2000000000"#, r#""deadlineNs":20000000000"#))
 }
 
 #[test]
-fn client_that_stops_in_the_middle_of_a_request_is_ended_within_three_seconds() {
+fn a_request_without_progress_times_out_within_three_seconds() {
     let mut rig = rig_with_long_deadlines();
-    let client = rig.client();
+    let client = rig.connect_client();
     rig.receive(client, b"POST /api HT");
-    rig.pass(2_900_000);
+    rig.decide_and_advance(2_900_000);
     assert!(rig.written(client).starts_with("HTTP/1.1 408"), "{}", rig.written(client));
 }
 
 #[test]
-fn client_that_writes_slowly_is_served() {
+fn a_client_that_sends_its_request_slowly_is_served() {
     let mut rig = rig_with_long_deadlines();
-    let client = rig.client();
-    let request = post("look", "t1", r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#);
+    let client = rig.connect_client();
+    let request = query_request("look", "t1", r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#);
     for end in [10, 20, 30, 40, request.len()] {
         rig.receive(client, &request.as_bytes()[..end]);
-        rig.pass(1_000_000);
+        rig.decide_and_advance(1_000_000);
     }
     assert_eq!(rig.router.counters().queries_accepted, 1);
 }
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -1,46 +1,47 @@
-//! Watches and polls: how they are read, when they are started again, what is invalid.
+//! Tests of watches and polls of the endpoint list: parsing, restarts, and responses that are invalid.
 
 use super::*;
 use balancer::Micros;
 
-/// What a watch sends in the tests below: an update in two chunks that drains node `b`, and a blank line.
+/// Returns the response to a watch: an update that drains node `b`, and a blank line, in two chunks.
 fn watch_response() -> String {
     let line = r#"{"revision":43,"complete":false,"members":[{"id":"b","host_port":"127.0.0.1:72",
         "locality":"z","cell":0,"phase":"draining","size":1.0,"up_since_ms":0}]}"#;
     let line = line.replace('\n', "") + "\n\n";
-    let (begin, end) = line.split_at(30);
+    let (first_chunk, last_chunk) = line.split_at(30);
     format!(
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{begin}\r\n{:x}\r\n{end}\r\n",
-        begin.len(),
-        end.len()
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{first_chunk}\r\n{:x}\r\n{last_chunk}\r\n",
+        first_chunk.len(),
+        last_chunk.len()
     )
 }
 
-/// A router whose watch has sent [`watch_response`] in two pieces, the watch, and how many bytes were not consumed.
-fn watch_that_has_answered(split: usize) -> (Rig<RecordingPeers>, ConnectionId, usize) {
+/// Creates a router that has received [`watch_response`], split at byte `split`. Returns the router, the connection of
+/// the watch, and the number of unconsumed bytes.
+fn router_with_watch_response(split: usize) -> (Rig<RecordingPeers>, ConnectionId, usize) {
     let text = watch_response();
     let mut rig = Rig::new();
     let watch = rig.peers.outgoing[0].id;
     rig.step(Event::Established(watch));
     assert!(rig.written(watch).starts_with("GET /api/targets?watch=1&after=41 HTTP/1.1\r\n"));
-    // Bytes that were not consumed are reported again.
-    let mut left = Vec::new();
+    // Unconsumed bytes are reported again in front of new ones.
+    let mut unconsumed_bytes = Vec::new();
     for piece in [&text.as_bytes()[..split], &text.as_bytes()[split..]] {
-        left.extend_from_slice(piece);
-        rig.router.step(START, Event::Received { connection: watch, bytes: &left });
+        unconsumed_bytes.extend_from_slice(piece);
+        rig.router.step(START, Event::Received { connection: watch, bytes: &unconsumed_bytes });
         for effect in rig.router.take_effects() {
             if let Effect::Consume { count, .. } = effect {
-                left.drain(..count);
+                unconsumed_bytes.drain(..count);
             }
         }
     }
-    (rig, watch, left.len())
+    (rig, watch, unconsumed_bytes.len())
 }
 
 #[test]
-fn a_watch_is_read_however_its_bytes_are_split() {
+fn a_watch_response_is_parsed_at_any_split() {
     for split in 0..watch_response().len() {
-        let (rig, _, unconsumed) = watch_that_has_answered(split);
+        let (rig, _, unconsumed) = router_with_watch_response(split);
         let records = rig.router.state.context.endpoints.records();
         let ready: Vec<bool> = records.iter().map(|record| record.ready).collect();
         assert_eq!((ready, unconsumed), (vec![true, false], 0), "split at {split}");
@@ -48,17 +49,17 @@
 }
 
 #[test]
-fn a_silent_watch_is_restarted_and_never_runs_twice() {
+fn a_silent_watch_is_restarted_and_only_one_watch_runs() {
     for split in 0..watch_response().len() {
-        let (mut rig, watch, _) = watch_that_has_answered(split);
-        // A watch that worked is restarted as soon as it counts as silent.
-        rig.pass(3_999_999);
+        let (mut rig, watch, _) = router_with_watch_response(split);
+        // A watch that has received a message is restarted as soon as it counts as silent, without a delay.
+        rig.decide_and_advance(3_999_999);
         assert_eq!((rig.peers.outgoing[0].id, rig.router.counters().endpoint_watches_silent), (watch, 0));
-        rig.pass(1);
+        rig.decide_and_advance(1);
         assert_eq!((rig.peers.outgoing.len(), rig.router.counters().endpoint_watches_silent), (1, 1));
         assert_eq!(rig.router.counters().discovery_failures, 0);
         let watch_counts = (0..160).map(|_| {
-            rig.pass(100_000);
+            rig.decide_and_advance(100_000);
             rig.peers.outgoing.len()
         });
         assert_eq!(watch_counts.max(), Some(1), "one watch at a time");
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn bytes_that_complete_no_message_do_not_keep_a_watch() {
+fn bytes_without_a_complete_message_do_not_keep_a_watch_open() {
     let mut rig = Rig::new();
     let watch = rig.peers.outgoing[0].id;
     rig.step(Event::Established(watch));
@@ -76,7 +77,7 @@
         assert_eq!(rig.peers.outgoing[0].id, watch, "after {second} s");
         head.push(b'x');
         rig.receive(watch, &head);
-        rig.pass(1_000_000);
+        rig.decide_and_advance(1_000_000);
     }
     assert!(
         rig.peers.outgoing.iter().all(|outgoing| outgoing.id != watch) || rig.peers.closed.contains(&watch)
@@ -84,8 +85,8 @@
     assert_eq!(rig.router.counters().discovery_failures, 1);
 }
 
-/// A router whose lists are pushed.
-fn pushed_discovery() -> Rig<RecordingPeers> {
+/// Creates a router whose endpoint lists are pushed.
+fn rig_with_pushed_lists() -> Rig<RecordingPeers> {
     let config = CONFIG
         .replace("\"ask\"", "\"push\"")
         .replace("\"obligations\":{", "\"obligations\":{\"drainGraceNs\":500000000,");
@@ -93,47 +94,47 @@
 }
 
 #[test]
-fn a_retry_set_for_an_earlier_watch_does_not_end_one_that_is_well() {
-    let mut rig = pushed_discovery();
-    // Two requests fail, one of them a poll: each sets a time for the next watch.
+fn a_retry_timer_of_an_earlier_watch_does_not_end_a_working_watch() {
+    let mut rig = rig_with_pushed_lists();
+    // A watch and a poll fail, and each failure sets a timer for the next watch.
     let first = rig.peers.outgoing[0].id;
-    rig.poll();
-    let list = rig.peers.outgoing[1].id;
-    rig.end(first, 0);
-    rig.pass(50_000);
-    rig.end(list, 0);
-    rig.pass(250_000);
+    rig.poll_discovery();
+    let poll = rig.peers.outgoing[1].id;
+    rig.end_connection(first, 0);
+    rig.decide_and_advance(50_000);
+    rig.end_connection(poll, 0);
+    rig.decide_and_advance(250_000);
     let second = rig.peers.outgoing[0].id;
     rig.step(Event::Established(second));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n";
     rig.receive(second, head.as_bytes());
     let requests = rig.router.counters().discovery_requests;
-    rig.pass(3_000_000);
+    rig.decide_and_advance(3_000_000);
     assert_eq!(rig.router.counters().discovery_requests, requests);
     assert_eq!(rig.peers.outgoing.len(), 1);
 }
 
 #[test]
-fn a_failed_watch_is_retried_well_within_the_drain_grace_however_often_it_fails() {
-    let mut rig = pushed_discovery();
-    let mut waits = Vec::new();
+fn a_watch_is_retried_well_within_the_drain_grace_after_any_number_of_failures() {
+    let mut rig = rig_with_pushed_lists();
+    let mut delays = Vec::new();
     for _ in 0..8 {
-        rig.end(rig.peers.outgoing[0].id, 0);
+        rig.end_connection(rig.peers.outgoing[0].id, 0);
         let failed_at = rig.now;
         while rig.peers.outgoing.is_empty() {
-            rig.pass(1_000);
+            rig.decide_and_advance(1_000);
         }
-        waits.push(rig.now - failed_at);
+        delays.push(rig.now - failed_at);
     }
-    for (wait, max_ms) in waits.into_iter().zip([125, 250, 250, 250, 250, 250, 250, 250]) {
-        assert!((max_ms * 500..=max_ms * 1_000).contains(&(wait - wait % 1_000)), "{wait} of {max_ms} ms");
+    for (delay, max_ms) in delays.into_iter().zip([125, 250, 250, 250, 250, 250, 250, 250]) {
+        assert!((max_ms * 500..=max_ms * 1_000).contains(&(delay - delay % 1_000)), "{delay} of {max_ms} ms");
     }
-    // One that is well resets the delay.
+    // A watch that receives a message resets the delay.
     let watch = rig.peers.outgoing[0].id;
     rig.step(Event::Established(watch));
     rig.receive(watch, b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n");
-    rig.end(watch, 0);
-    rig.pass(125_000);
+    rig.end_connection(watch, 0);
+    rig.decide_and_advance(125_000);
     assert_eq!(rig.peers.outgoing.len(), 1);
 }
 
@@ -142,7 +143,7 @@
     let retry_at = |seed: &str| {
         let config = CONFIG.replace("\"ask\"", "\"push\"").replace("\"2a\"", seed);
         let mut rig = Rig::with_config(&config);
-        rig.end(rig.peers.outgoing[0].id, 0);
+        rig.end_connection(rig.peers.outgoing[0].id, 0);
         rig.decide();
         rig.router.wake_at
     };
@@ -151,61 +152,62 @@
 }
 
 #[test]
-fn a_truncated_list_is_rejected_and_one_without_length_ends_with_an_orderly_close() {
+fn a_truncated_list_is_rejected_and_a_list_without_length_ends_with_an_orderly_close() {
     let list = r#"{"revision":50,"complete":true,"members":[]}"#;
     let chunked = format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\r\n", list.len());
-    let open = format!("Connection: close\r\n\r\n{list}");
-    for (rest, closed, listed) in
-        [(&chunked, false, 0), (&chunked, true, 0), (&open, false, 0), (&open, true, 1)]
+    let until_close = format!("Connection: close\r\n\r\n{list}");
+    for (rest, closed, accepted_lists) in
+        [(&chunked, false, 0), (&chunked, true, 0), (&until_close, false, 0), (&until_close, true, 1)]
     {
         let mut rig = Rig::new();
-        let request = rig.poll();
+        let request = rig.poll_discovery();
         rig.step(Event::Established(request));
         rig.receive(request, format!("HTTP/1.1 200 OK\r\n{rest}").as_bytes());
         if closed {
             rig.step(Event::PeerClosed(request));
         }
-        rig.end(request, 0);
+        rig.end_connection(request, 0);
         let counters = rig.router.counters();
         assert_eq!(
             (counters.endpoint_lists_full, counters.discovery_failures),
-            (1 + listed, 1 - listed),
+            (1 + accepted_lists, 1 - accepted_lists),
             "{rest} {closed}"
         );
     }
 }
 
-/// A full list of `nodes` nodes, compact or indented.
-fn list_of(nodes: usize, indented: bool) -> String {
+/// Returns a full endpoint list of `nodes` nodes as JSON, compact or indented.
+fn endpoint_list(nodes: usize, indented: bool) -> String {
     let member = |index: usize| {
         serde_json::json!({"id": format!("s-{index:08x}"), "host_port": format!("127.0.0.1:{}", 2000 + index),
             "locality": "z", "flavor": "std", "cell": 0, "phase": "ready", "size": 1.0, "up_since_ms": 0})
     };
     let members: Vec<_> = (0..nodes).map(member).collect();
     let list = serde_json::json!({"revision": 60, "complete": true, "members": members});
-    if indented { serde_json::to_string_pretty(&list).expect("JSON") } else { list.to_string() }
+    if indented { serde_json::to_string_pretty(&list).expect("valid JSON") } else { list.to_string() }
 }
 
-/// Answers a request with these bytes, `piece_length` at a time. Bytes that were not consumed are reported again.
+/// Reports `bytes` as received on the connection of a request, `piece_length` bytes at a time. Unconsumed bytes are
+/// reported again in front of new ones.
 fn receive_in_pieces(
     rig: &mut Rig<RecordingPeers>, request: ConnectionId, bytes: &[u8], piece_length: usize,
 ) {
-    let mut left = Vec::new();
+    let mut unconsumed_bytes = Vec::new();
     for piece in bytes.chunks(piece_length) {
-        left.extend_from_slice(piece);
-        rig.router.step(START, Event::Received { connection: request, bytes: &left });
+        unconsumed_bytes.extend_from_slice(piece);
+        rig.router.step(START, Event::Received { connection: request, bytes: &unconsumed_bytes });
         for effect in rig.router.take_effects() {
             if let Effect::Consume { count, .. } = effect {
-                left.drain(..count);
+                unconsumed_bytes.drain(..count);
             }
         }
     }
 }
 
-/// How many nodes are ready after a response to a poll or a watch.
-fn ready_after(watch: bool, bytes: &[u8], piece_length: usize) -> usize {
+/// Returns the number of ready endpoints after a response to a watch, or to a poll if `watch` is false.
+fn ready_endpoints_after(watch: bool, bytes: &[u8], piece_length: usize) -> usize {
     let mut rig = Rig::new();
-    let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
+    let request = if watch { rig.peers.outgoing[0].id } else { rig.poll_discovery() };
     rig.step(Event::Established(request));
     receive_in_pieces(&mut rig, request, bytes, piece_length);
     rig.ready_endpoints()
@@ -214,7 +216,7 @@
 #[test]
 fn lists_of_any_size_are_read_in_any_layout_and_framing() {
     for indented in [false, true] {
-        let list = list_of(1_100, indented);
+        let list = endpoint_list(1_100, indented);
         assert!(list.len() > 2 * crate::protocol::http::MAX_BODY_BYTES);
         let by_length = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -228,7 +230,7 @@
         for text in [by_length, one_chunk, many_chunks] {
             for (watch, piece) in [(false, text.len()), (true, text.len()), (false, 4_096), (true, 4_096)] {
                 assert_eq!(
-                    ready_after(watch, text.as_bytes(), piece),
+                    ready_endpoints_after(watch, text.as_bytes(), piece),
                     1_100,
                     "{watch} {piece} {}",
                     &text[..60]
@@ -239,34 +241,37 @@
 }
 
 #[test]
-fn the_cached_list_may_have_any_size_and_so_may_the_number_of_routers() {
+fn a_large_cached_list_and_a_large_number_of_routers_are_accepted() {
     for indented in [false, true] {
-        let mut config: serde_json::Value = serde_json::from_str(CONFIG).expect("JSON");
-        config["known"] = serde_json::from_str(&list_of(1_100, indented)).expect("JSON");
+        let mut config: serde_json::Value = serde_json::from_str(CONFIG).expect("valid JSON");
+        config["known"] = serde_json::from_str(&endpoint_list(1_100, indented)).expect("valid JSON");
         config["settings"]["instances"] = 2_000.into();
         let text =
             if indented { serde_json::to_string_pretty(&config) } else { serde_json::to_string(&config) };
-        let config = Config::parse(&text.expect("JSON")).expect("fit to serve");
+        let config = Config::parse(&text.expect("valid JSON")).expect("a valid configuration");
         let mut rig = Rig { router: Router::new(&config, START), ..Rig::new() };
         assert_eq!(rig.ready_endpoints(), 1_100);
-        let client = rig.query("look", "t1");
+        let client = rig.send_query("look", "t1");
         let connections = rig.peers.outgoing.iter().filter(|outgoing| outgoing.port >= 2_000).count();
-        assert!(connections > 0 && rig.written(client).is_empty(), "its shard requests are on their way");
+        assert!(
+            connections > 0 && rig.written(client).is_empty(),
+            "shard requests are sent to the nodes of the cached list"
+        );
     }
 }
 
 #[test]
-fn an_indented_list_is_read_however_it_is_split() {
-    let list = list_of(3, true);
+fn an_indented_list_is_parsed_in_pieces_of_any_length() {
+    let list = endpoint_list(3, true);
     let text =
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{:x}\r\n{list}\n\r\n", list.len() + 1);
     for piece in 1..text.len() {
-        assert_eq!(ready_after(true, text.as_bytes(), piece), 3, "pieces of {piece}");
+        assert_eq!(ready_endpoints_after(true, text.as_bytes(), piece), 3, "pieces of {piece}");
     }
 }
 
 #[test]
-fn an_invalid_list_leaves_the_current_one_and_is_requested_again() {
+fn an_invalid_list_is_discarded_and_requested_again() {
     let member = r#"{"id":"c","host_port":"127.0.0.1:73","cell":0,"phase":"ready"}"#;
     for (watch, body) in [
         (true, r#"{"complete":true,"members":[]}"#.to_string()),
@@ -282,7 +287,7 @@
         (false, "x".repeat(crate::protocol::json_stream::MAX_ENDPOINT_LIST_BYTES + 1)),
     ] {
         let mut rig = Rig::new();
-        let request = if watch { rig.peers.outgoing[0].id } else { rig.poll() };
+        let request = if watch { rig.peers.outgoing[0].id } else { rig.poll_discovery() };
         rig.step(Event::Established(request));
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
         rig.receive(request, text.as_bytes());
@@ -295,17 +300,17 @@
         );
         assert!(
             rig.router.state.context.endpoints.records().iter().all(|record| record.ready),
-            "the current list stays"
+            "the current list stays in use"
         );
         let requests = rig.router.counters().discovery_requests;
         rig.decide();
-        rig.pass(20_000_000);
+        rig.decide_and_advance(20_000_000);
         assert!(rig.router.counters().discovery_requests > requests);
     }
 }
 
 #[test]
-fn a_response_that_states_a_greater_length_than_any_list_is_rejected_at_once() {
+fn a_response_with_a_content_length_over_the_limit_is_rejected_at_once() {
     let mut rig = Rig::new();
     let request = rig.peers.outgoing[0].id;
     rig.step(Event::Established(request));
@@ -315,22 +320,22 @@
 }
 
 #[test]
-fn an_invalid_entry_costs_no_other() {
+fn an_invalid_entry_is_skipped_and_the_others_are_applied() {
     let body = r#"{"revision":44,"complete":true,"members":[{"id":"x"},7,{"id":"y","cell":0,"phase":"asleep"},
         {"id":"b","host_port":"127.0.0.1:72","locality":"z","cell":0,"phase":"ready"}]}"#;
     let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    assert_eq!(ready_after(true, text.as_bytes(), text.len()), 1);
+    assert_eq!(ready_endpoints_after(true, text.as_bytes(), text.len()), 1);
 }
 
 #[test]
-fn a_watch_with_a_truncated_object_fails_though_blank_lines_follow() {
+fn a_watch_with_a_truncated_object_fails_although_blank_lines_follow() {
     let mut rig = Rig::new();
     let request = rig.peers.outgoing[0].id;
     rig.step(Event::Established(request));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     rig.receive(request, format!("{head}e\r\n{{\"revision\":1,\r\n").as_bytes());
     for _ in 0..3 {
-        rig.pass(1_500_000);
+        rig.decide_and_advance(1_500_000);
         if rig.router.state.context.connections.kind(request).is_some() {
             rig.receive(request, b"1\r\n\n\r\n");
         }
@@ -339,19 +344,19 @@
 }
 
 #[test]
-fn discovery_that_moves_is_watched_at_its_new_address_only() {
+fn discovery_is_watched_only_at_its_new_address_after_a_move() {
     let mut rig = Rig::new();
-    let client = rig.query("look", "t1");
+    let client = rig.send_query("look", "t1");
     let (connection, _) = rig.establish_last();
     let old = rig.peers.outgoing[0].id;
-    rig.poll();
-    let list = rig.peers.outgoing.last().expect("a connection").id;
-    rig.step(Event::DiscoveryMoved("127.0.0.1:9".parse().expect("an address")));
-    assert!(rig.peers.closed.is_empty(), "the same address changes nothing");
+    rig.poll_discovery();
+    let poll = rig.peers.outgoing.last().expect("a connection for the poll").id;
+    rig.step(Event::DiscoveryMoved("127.0.0.1:9".parse().expect("a valid address")));
+    assert!(rig.peers.closed.is_empty(), "the connections stay open if the address is the same");
     for port in [10, 11] {
         rig.step(Event::DiscoveryMoved(SocketAddr::from(([127, 0, 0, 1], port))));
     }
-    assert!(rig.peers.closed.contains(&old) && rig.peers.closed.contains(&list));
+    assert!(rig.peers.closed.contains(&old) && rig.peers.closed.contains(&poll));
     let requests: Vec<ConnectionId> = rig
         .peers
         .outgoing
@@ -368,7 +373,7 @@
                 .any(|outgoing| outgoing.port == DISCOVERY_PORT || outgoing.port == 10)
     );
     requests.iter().for_each(|&request| rig.step(Event::Established(request)));
-    // Revisions of the old address mean nothing at the new one.
+    // The revision received from the old address is not used for the new one.
     assert!(
         requests.iter().any(|&request| rig.written(request).starts_with("GET /api/targets?watch=1&after=0 "))
     );
@@ -378,20 +383,21 @@
     assert!(rig.written(client).starts_with("HTTP/1.1 200"));
 }
 
-/// Changes are to be known at the latest this long after discovery can be reached, less what a call may take.
+/// The maximum time until discovery is requested again: the time within which the router must learn of a change once
+/// discovery is reachable, less the time that the request may take.
 const MAX_REQUEST_GAP: Micros = 5_000_000;
 
-/// How long it takes until discovery is asked again.
+/// Advances the clock until discovery is requested again, and returns the time that this takes.
 fn time_to_next_request(rig: &mut Rig<RecordingPeers>) -> Micros {
     const STEP: Micros = 50_000;
     let (requests, started) = (rig.router.counters().discovery_requests, rig.now);
     while rig.router.counters().discovery_requests == requests {
-        rig.pass(STEP);
+        rig.decide_and_advance(STEP);
     }
     rig.now - started
 }
 
-/// Routers that poll or are pushed lists, with different seeds, whose requests to discovery failed some times.
+/// Returns routers with polled and with pushed lists, with different seeds, after 0 to 4 failed requests to discovery.
 fn routers_after_failed_requests() -> impl Iterator<Item = Rig<RecordingPeers>> {
     let configs = ["ask", "push"].into_iter().flat_map(|mode| {
         let config = CONFIG.replace(r#""registryMode":"ask""#, &format!(r#""registryMode":"{mode}""#));
@@ -403,7 +409,7 @@
             rig.decide();
             for _ in 0..failures {
                 let request = rig.peers.outgoing.last().expect("a request").id;
-                rig.end(request, 0);
+                rig.end_connection(request, 0);
                 time_to_next_request(&mut rig);
             }
             rig
@@ -412,22 +418,22 @@
 }
 
 #[test]
-fn discovery_that_hangs_is_asked_again_soon_enough_to_learn_of_a_drain() {
+fn discovery_that_hangs_is_requested_again_in_time_to_learn_of_a_drain() {
     for mut rig in routers_after_failed_requests() {
         let request = rig.peers.outgoing.last().expect("a request").id;
         rig.step(Event::Established(request));
-        // It was accepted just before discovery recovered, and is never answered.
+        // The request was accepted just before discovery recovered, and is never answered.
         let gap = time_to_next_request(&mut rig);
-        assert!(gap <= MAX_REQUEST_GAP, "asked again after {gap} us");
+        assert!(gap <= MAX_REQUEST_GAP, "requested again after {gap} us");
     }
 }
 
 #[test]
-fn discovery_that_fails_is_asked_again_soon_enough_to_learn_of_a_drain() {
+fn discovery_that_fails_is_requested_again_in_time_to_learn_of_a_drain() {
     for mut rig in routers_after_failed_requests() {
         let request = rig.peers.outgoing.last().expect("a request").id;
-        rig.end(request, 0);
+        rig.end_connection(request, 0);
         let gap = time_to_next_request(&mut rig);
-        assert!(gap <= MAX_REQUEST_GAP, "asked again after {gap} us");
+        assert!(gap <= MAX_REQUEST_GAP, "requested again after {gap} us");
     }
 }
--- a/crates/query-router/src/router/tests/event_sequences.rs
+++ b/crates/query-router/src/router/tests/event_sequences.rs
@@ -1,23 +1,24 @@
-//! Random sequences of events from clients, nodes, discovery and the system, from fixed seeds. The peers know what was
-//! written to them and answer, break off, repeat or damage it; invariants panic here.
+//! Tests of random sequences of events from clients, nodes, discovery and the operating system, with fixed seeds. The
+//! simulated peers parse the bytes written to them, and respond, disconnect, or send repeated or malformed responses. A
+//! violated invariant panics in tests.
 
 use super::*;
 
-/// The peer of a connection.
+/// The simulated peer of a connection.
 #[derive(Default)]
 struct RemoteEnd {
-    /// The bytes that the router has written.
+    /// All bytes that the router has written.
     sent: Vec<u8>,
-    /// How many of them the system has taken.
-    taken: usize,
-    /// How many of them a node has read; not 0 for discovery once it has sent the head of a response.
-    read: usize,
-    /// The ids of the shard requests that a node has to answer, empty for a health check.
+    /// The number of bytes of `sent` that the operating system has accepted.
+    accepted_bytes: usize,
+    /// The number of bytes of `sent` that a node has parsed. For discovery, 1 once the head of a response is sent.
+    parsed_bytes: usize,
+    /// The ids of the shard requests to which the node has not responded; an empty string for a health check.
     requests: Vec<String>,
-    /// The bytes that the peer has sent and the router has not consumed.
+    /// The bytes that the peer has sent and that the router has not consumed.
     unconsumed: Vec<u8>,
     established: bool,
-    /// The port that it listens on, none for a client.
+    /// The port on which the peer listens; `None` for a client.
     port: Option<u16>,
 }
 
@@ -35,29 +36,29 @@
     }
 }
 
-/// Peers that act at random.
+/// Peers that act at random, and the state that they keep.
 struct RandomPeers {
     rng: fastrand::Rng,
-    ends: BTreeMap<ConnectionId, RemoteEnd>,
+    remote_ends: BTreeMap<ConnectionId, RemoteEnd>,
     queries: u64,
     revision: u64,
-    /// How often each shard request that may be executed only once was sent in full, by its id.
+    /// The number of times that each non-idempotent shard request was sent in full, by id.
     sent_in_full: BTreeMap<String, usize>,
 }
 
 impl Peers for RandomPeers {
-    fn carry_out(&mut self, router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>) {
+    fn apply_effect(&mut self, router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>) {
         match effect {
             Effect::Accept(id) => {
                 let end = RemoteEnd { established: true, ..RemoteEnd::default() };
-                assert!(self.ends.insert(id, end).is_none());
+                assert!(self.remote_ends.insert(id, end).is_none());
             }
             Effect::Connect { connection: id, address } => {
                 let end = RemoteEnd { port: Some(address.port()), ..RemoteEnd::default() };
-                assert!(self.ends.insert(id, end).is_none());
+                assert!(self.remote_ends.insert(id, end).is_none());
             }
             Effect::Consume { connection: id, count } => {
-                if let Some(end) = self.ends.get_mut(&id) {
+                if let Some(end) = self.remote_ends.get_mut(&id) {
                     end.unconsumed.drain(..count);
                 }
             }
@@ -65,34 +66,34 @@
             Effect::Write { connection: id, buffers }
             | Effect::WriteIfOpen { connection: id, buffers, .. } => {
                 let bytes: Vec<u8> = buffers.iter().flat_map(|buffer| buffer.to_vec()).collect();
-                let slow = self.rng.u8(0..8) == 0;
-                if let Some(end) = self.ends.get_mut(&id) {
-                    assert!(end.established, "written on a connection that is not established");
+                let is_slow = self.rng.u8(0..8) == 0;
+                if let Some(end) = self.remote_ends.get_mut(&id) {
+                    assert!(end.established, "bytes written on a connection that is not established");
                     end.sent.extend(bytes);
-                    if !slow && end.taken + 1 < end.sent.len() {
-                        self.take_all(router, id, follow_ups);
+                    if !is_slow && end.accepted_bytes + 1 < end.sent.len() {
+                        self.accept_all(router, id, follow_ups);
                     }
                 }
             }
             Effect::CloseIfIdle(id) => {
-                if self.ends.get(&id).is_some_and(|end| end.unconsumed.is_empty()) {
-                    self.fail(id, follow_ups);
+                if self.remote_ends.get(&id).is_some_and(|end| end.unconsumed.is_empty()) {
+                    self.end_connection(id, follow_ups);
                 }
             }
-            Effect::Abort(id) => self.fail(id, follow_ups),
+            Effect::Abort(id) => self.end_connection(id, follow_ups),
             Effect::Close(id) => {
-                self.ends.remove(&id);
+                self.remote_ends.remove(&id);
             }
             Effect::CloseWrite(_) | Effect::WakeAt(_) | Effect::PrintCounters(_) | Effect::Exit => {}
         }
     }
 
     fn unconsumed(&self, id: ConnectionId) -> Option<Vec<u8>> {
-        self.ends.get(&id).map(|end| end.unconsumed.clone())
+        self.remote_ends.get(&id).map(|end| end.unconsumed.clone())
     }
 }
 
-/// The ids of a batch's shard requests.
+/// Returns the ids of the shard requests in the content of a batch frame.
 fn batch_ids(mut content: &[u8]) -> Vec<String> {
     let mut ids = Vec::new();
     while !content.is_empty() {
@@ -115,26 +116,28 @@
 }
 
 impl RandomPeers {
-    /// The system takes all that is to be written.
-    fn take_all(&mut self, router: &Router, id: ConnectionId, follow_ups: &mut VecDeque<FollowUp>) {
-        let Some(end) = self.ends.get_mut(&id) else { return };
-        end.taken = end.sent.len();
+    /// The operating system accepts all bytes to be written; a node parses them.
+    fn accept_all(&mut self, router: &Router, id: ConnectionId, follow_ups: &mut VecDeque<FollowUp>) {
+        let Some(end) = self.remote_ends.get_mut(&id) else { return };
+        end.accepted_bytes = end.sent.len();
         follow_ups.push_back(FollowUp::Flushed(id));
         if end.is_node() {
-            self.read_frames(router, id);
+            self.parse_frames(router, id);
         }
     }
 
-    /// A node reads the frames that came in full.
-    fn read_frames(&mut self, router: &Router, id: ConnectionId) {
-        let Some(end) = self.ends.get_mut(&id) else { return };
-        while let Some(head) = end.sent[..end.taken].get(end.read..end.read + 5) {
+    /// A node parses the frames that it has received in full.
+    fn parse_frames(&mut self, router: &Router, id: ConnectionId) {
+        let Some(end) = self.remote_ends.get_mut(&id) else { return };
+        while let Some(head) = end.sent[..end.accepted_bytes].get(end.parsed_bytes..end.parsed_bytes + 5) {
             let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-            let letter = head[4];
-            let Some(content) = end.sent[..end.taken].get(end.read + 5..end.read + 4 + length) else {
+            let kind = head[4];
+            let Some(content) =
+                end.sent[..end.accepted_bytes].get(end.parsed_bytes + 5..end.parsed_bytes + 4 + length)
+            else {
                 return;
             };
-            if letter == b'R' {
+            if kind == b'R' {
                 for request_id in batch_ids(content) {
                     assert_in_progress(router, &request_id);
                     if request_id.starts_with("pay") {
@@ -142,29 +145,30 @@
                     }
                     end.requests.push(request_id);
                 }
-            } else if letter == b'G' {
+            } else if kind == b'G' {
                 end.requests.push(String::new());
             }
-            end.read += 4 + length;
+            end.parsed_bytes += 4 + length;
         }
     }
 
-    /// The system closes a socket and says how much it had taken.
-    fn fail(&mut self, id: ConnectionId, follow_ups: &mut VecDeque<FollowUp>) {
-        if let Some(end) = self.ends.remove(&id) {
-            follow_ups.push_back(FollowUp::Ended { connection: id, written_bytes: end.taken as u64 });
+    /// Removes a connection and queues the report of its end with the number of accepted bytes.
+    fn end_connection(&mut self, id: ConnectionId, follow_ups: &mut VecDeque<FollowUp>) {
+        if let Some(end) = self.remote_ends.remove(&id) {
+            follow_ups
+                .push_back(FollowUp::Ended { connection: id, written_bytes: end.accepted_bytes as u64 });
         }
     }
 
-    /// Draws one of the connections whose remote end matches.
-    fn any(&mut self, matches: impl Fn(&RemoteEnd) -> bool) -> Option<ConnectionId> {
+    /// Returns a random connection whose remote end matches; `None` if there is none.
+    fn random_connection(&mut self, matches: impl Fn(&RemoteEnd) -> bool) -> Option<ConnectionId> {
         let matching: Vec<ConnectionId> =
-            self.ends.iter().filter(|(_, end)| matches(end)).map(|(id, _)| *id).collect();
+            self.remote_ends.iter().filter(|(_, end)| matches(end)).map(|(id, _)| *id).collect();
         self.rng.choice(matching)
     }
 
-    /// A client's request, good or bad.
-    fn request(&mut self) -> Vec<u8> {
+    /// Returns a random request of a client: a valid or invalid query, or a readiness check.
+    fn random_request(&mut self) -> Vec<u8> {
         self.queries += 1;
         let class = if self.rng.bool() { "pay" } else { "look" };
         let id = format!("{class}{}", self.queries);
@@ -173,22 +177,27 @@
         let segments: Vec<String> =
             shards.iter().map(|shard| format!(r#"{{"segment":{shard},"boost":{boost}}}"#)).collect();
         let body = format!(r#"{{"segments":[{}],"text":"q"}}"#, segments.join(","));
-        let wait = self.rng.u32(1..2_500).to_string();
+        let deadline_ms = self.rng.u32(1..2_500).to_string();
         match self.rng.u8(0..12) {
             0 => b"GET /-/ready HTTP/1.1\r\n\r\n".to_vec(),
             1 => b"no request at all\r\n\r\n".to_vec(),
-            2 => [post(class, &id, &body), post(class, &format!("{id}b"), &body)].concat().into_bytes(),
-            3 => [post(class, &id, &body).into_bytes(), vec![b'x'; crate::protocol::http::MAX_REQUEST_BYTES]]
-                .concat(),
-            _ => post(class, &id, &body).replace("1500", &wait).into_bytes(),
+            2 => [query_request(class, &id, &body), query_request(class, &format!("{id}b"), &body)]
+                .concat()
+                .into_bytes(),
+            3 => [
+                query_request(class, &id, &body).into_bytes(),
+                vec![b'x'; crate::protocol::http::MAX_REQUEST_BYTES],
+            ]
+            .concat(),
+            _ => query_request(class, &id, &body).replace("1500", &deadline_ms).into_bytes(),
         }
     }
 }
 
 impl Rig<RandomPeers> {
-    fn random(seed: u64) -> Self {
+    fn with_random_peers(seed: u64) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut config: serde_json::Value = serde_json::from_str(CONFIG).expect("JSON");
+        let mut config: serde_json::Value = serde_json::from_str(CONFIG).expect("valid JSON");
         config["limits"]["sockets"] = rng.u32(18..40).into();
         config["settings"]["tickNs"] = [0, 5_000_000][rng.usize(0..2)].into();
         config["settings"]["registryMode"] = ["ask", "push"][rng.usize(0..2)].into();
@@ -196,23 +205,23 @@
         config["settings"]["ceilings"]["parallelTries"] = rng.bool().into();
         config["settings"]["ceilings"]["openCap"] = 40.into();
         config["settings"]["obligations"]["drainGraceNs"] = 500_000_000.into();
-        let config = Config::parse(&config.to_string()).expect("a configuration");
-        let (ends, sent_in_full) = (BTreeMap::new(), BTreeMap::new());
-        Rig::with_peers(&config, RandomPeers { rng, ends, queries: 0, revision: 41, sent_in_full })
+        let config = Config::parse(&config.to_string()).expect("a valid configuration");
+        let (remote_ends, sent_in_full) = (BTreeMap::new(), BTreeMap::new());
+        Rig::with_peers(&config, RandomPeers { rng, remote_ends, queries: 0, revision: 41, sent_in_full })
     }
 
-    /// The system closes a connection and says how much it had taken.
-    fn break_off(&mut self, id: ConnectionId) {
-        self.peers.fail(id, &mut self.follow_ups);
+    /// Ends a connection and reports the number of accepted bytes to the router.
+    fn disconnect(&mut self, id: ConnectionId) {
+        self.peers.end_connection(id, &mut self.follow_ups);
         self.run_effects();
     }
 
-    /// A peer sends bytes, at once or in two pieces.
+    /// A peer sends bytes in one piece or in two, the second of which may be missing.
     fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         let cut =
             if self.peers.rng.u8(0..6) == 0 { self.peers.rng.usize(0..=bytes.len()) } else { bytes.len() };
         for piece in [&bytes[..cut], &bytes[cut..]] {
-            let Some(end) = self.peers.ends.get_mut(&id) else { return };
+            let Some(end) = self.peers.remote_ends.get_mut(&id) else { return };
             if piece.is_empty() {
                 continue;
             }
@@ -225,11 +234,11 @@
         }
     }
 
-    /// A node sends a response to one of its shard requests, another frame, or nothing that can be used.
+    /// A node sends a response to one of its requests, another frame, or malformed bytes.
     fn node_sends(&mut self, id: ConnectionId) {
-        let request_count = self.peers.ends[&id].requests.len();
+        let request_count = self.peers.remote_ends[&id].requests.len();
         let index = self.peers.rng.usize(0..request_count.max(1));
-        let end = self.peers.ends.get_mut(&id).filter(|_| request_count > 0);
+        let end = self.peers.remote_ends.get_mut(&id).filter(|_| request_count > 0);
         let request_id = end.map(|end| end.requests.remove(index));
         let bytes = match (request_id, self.peers.rng.u8(0..24)) {
             (Some(request_id), _) if request_id.is_empty() => frame(b'G', "OK"),
@@ -245,7 +254,7 @@
         self.send(id, &bytes);
     }
 
-    /// Discovery sends an update, a blank line, or half an object.
+    /// Discovery sends an update, a blank line, or a truncated object.
     fn discovery_sends(&mut self, id: ConnectionId) {
         self.peers.revision += self.peers.rng.u64(0..3);
         let mut members = Vec::new();
@@ -260,13 +269,13 @@
         let complete = self.peers.rng.u8(0..4) == 0;
         let list =
             serde_json::json!({"revision": self.peers.revision, "complete": complete, "members": members});
-        let head = if self.peers.ends[&id].read == 0 {
+        let head = if self.peers.remote_ends[&id].parsed_bytes == 0 {
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         } else {
             ""
         };
-        if let Some(end) = self.peers.ends.get_mut(&id) {
-            end.read = 1;
+        if let Some(end) = self.peers.remote_ends.get_mut(&id) {
+            end.parsed_bytes = 1;
         }
         let line = match self.peers.rng.u8(0..8) {
             0 => "\n".to_string(),
@@ -276,20 +285,20 @@
         self.send(id, format!("{head}{:x}\r\n{line}\r\n", line.len()).as_bytes());
     }
 
-    /// Draws one event and lets it happen.
+    /// Applies one random event.
     fn random_event(&mut self) {
         match self.peers.rng.u8(0..40) {
             0..=3 => self.step(Event::ClientConnected),
-            4..=11 => self.random_request(),
-            12..=13 => self.break_off_any(RemoteEnd::is_client),
-            14..=18 => self.establish_any(),
-            19..=25 => self.any_node_sends(|end| !end.requests.is_empty()),
-            26 => self.any_node_sends(|_| true),
-            27 => self.break_off_any(RemoteEnd::is_node),
-            28..=29 => self.any_discovery_sends(),
-            30 => self.any_discovery_closes(),
-            31..=32 => self.any_stalled_write_goes_on(),
-            33 => self.discovery_moves(),
+            4..=11 => self.random_client_sends(),
+            12..=13 => self.random_peer_disconnects(RemoteEnd::is_client),
+            14..=18 => self.establish_random_connection(),
+            19..=25 => self.random_node_sends(|end| !end.requests.is_empty()),
+            26 => self.random_node_sends(|_| true),
+            27 => self.random_peer_disconnects(RemoteEnd::is_node),
+            28..=29 => self.random_discovery_connection_sends(),
+            30 => self.random_discovery_connection_closes(),
+            31..=32 => self.resume_random_stalled_write(),
+            33 => self.move_discovery(),
             34..=36 => self.decide(),
             _ => {
                 let span = [100, 5_000, 100_000, 700_000][self.peers.rng.usize(0..4)];
@@ -299,63 +308,64 @@
         }
     }
 
-    fn random_request(&mut self) {
-        let request = self.peers.request();
-        if let Some(id) = self.peers.any(RemoteEnd::is_client) {
+    fn random_client_sends(&mut self) {
+        let request = self.peers.random_request();
+        if let Some(id) = self.peers.random_connection(RemoteEnd::is_client) {
             self.send(id, &request);
         }
     }
 
-    fn break_off_any(&mut self, matches: impl Fn(&RemoteEnd) -> bool) {
-        if let Some(id) = self.peers.any(matches) {
-            self.break_off(id);
+    fn random_peer_disconnects(&mut self, matches: impl Fn(&RemoteEnd) -> bool) {
+        if let Some(id) = self.peers.random_connection(matches) {
+            self.disconnect(id);
         }
     }
 
-    fn establish_any(&mut self) {
-        if let Some(id) = self.peers.any(|end| !end.established) {
-            self.peers.ends.get_mut(&id).expect("an end").established = true;
+    fn establish_random_connection(&mut self) {
+        if let Some(id) = self.peers.random_connection(|end| !end.established) {
+            self.peers.remote_ends.get_mut(&id).expect("a remote end of this connection").established = true;
             self.step(Event::Established(id));
         }
     }
 
-    fn any_node_sends(&mut self, matches: impl Fn(&RemoteEnd) -> bool) {
-        if let Some(id) = self.peers.any(|end| end.is_node() && end.established && matches(end)) {
+    fn random_node_sends(&mut self, matches: impl Fn(&RemoteEnd) -> bool) {
+        if let Some(id) = self.peers.random_connection(|end| end.is_node() && end.established && matches(end))
+        {
             self.node_sends(id);
         }
     }
 
-    fn any_discovery_sends(&mut self) {
-        if let Some(id) = self.peers.any(|end| end.is_discovery() && end.established) {
+    fn random_discovery_connection_sends(&mut self) {
+        if let Some(id) = self.peers.random_connection(|end| end.is_discovery() && end.established) {
             self.discovery_sends(id);
         }
     }
 
-    fn any_discovery_closes(&mut self) {
-        if let Some(id) = self.peers.any(RemoteEnd::is_discovery) {
+    fn random_discovery_connection_closes(&mut self) {
+        if let Some(id) = self.peers.random_connection(RemoteEnd::is_discovery) {
             self.step(Event::PeerClosed(id));
-            self.break_off(id);
+            self.disconnect(id);
         }
     }
 
-    /// The system takes the rest of what is to be written on a connection.
-    fn any_stalled_write_goes_on(&mut self) {
-        if let Some(id) = self.peers.any(|end| end.taken < end.sent.len()) {
-            self.peers.take_all(&self.router, id, &mut self.follow_ups);
+    /// The operating system accepts the remaining bytes of a connection with a stalled write.
+    fn resume_random_stalled_write(&mut self) {
+        if let Some(id) = self.peers.random_connection(|end| end.accepted_bytes < end.sent.len()) {
+            self.peers.accept_all(&self.router, id, &mut self.follow_ups);
             self.run_effects();
         }
     }
 
-    fn discovery_moves(&mut self) {
+    fn move_discovery(&mut self) {
         let address = if self.peers.rng.bool() { "127.0.0.1:9" } else { "127.0.0.2:9" };
-        self.step(Event::DiscoveryMoved(address.parse().expect("an address")));
+        self.step(Event::DiscoveryMoved(address.parse().expect("a valid address")));
     }
 }
 
 #[test]
 fn any_sequence_of_events_keeps_the_invariants_and_releases_everything() {
     for seed in 0..60 {
-        let mut rig = Rig::random(seed);
+        let mut rig = Rig::with_random_peers(seed);
         for _ in 0..600 {
             rig.random_event();
         }
@@ -365,31 +375,31 @@
             rig.random_event();
             rig.advance(10_000);
         }
-        // The process may be killed this long after; by then all are answered whose answers can be written.
+        // The process may be killed after this time. By then, every query whose response can be written is answered.
         rig.advance(KILL_DELAY + 2_000_000);
         rig.decide();
         let state = &rig.router.state;
-        assert_eq!(state.queries.open_count(), 0, "seed {seed}: a query without an answer");
+        assert_eq!(state.queries.open_count(), 0, "seed {seed}: a query is not answered");
         let clients: Vec<ConnectionId> =
-            rig.peers.ends.iter().filter(|(_, end)| end.is_client()).map(|(id, _)| *id).collect();
+            rig.peers.remote_ends.iter().filter(|(_, end)| end.is_client()).map(|(id, _)| *id).collect();
         for id in clients {
-            rig.break_off(id);
+            rig.disconnect(id);
         }
-        // Clients that wait for one of few connections are accepted one after the other, each for two seconds.
+        // Clients that wait at the connection limit are accepted one after the other, and each is kept for two seconds.
         rig.advance(200_000_000);
         let state = &rig.router.state;
-        assert!(rig.exit, "seed {seed}: the router does not exit");
+        assert!(rig.exit_requested, "seed {seed}: the router does not exit");
         assert_eq!((state.queries.queries.len(), state.queries.shard_requests.len()), (0, 0), "seed {seed}");
-        let known: BTreeSet<ConnectionId> = state.context.connections.ids().collect();
+        let router_connections: BTreeSet<ConnectionId> = state.context.connections.ids().collect();
         assert_eq!(
-            known,
-            rig.peers.ends.keys().copied().collect(),
-            "seed {seed}: connections without a peer"
+            router_connections,
+            rig.peers.remote_ends.keys().copied().collect(),
+            "seed {seed}: the connections of the router differ from those of the peers"
         );
         assert_eq!(state.context.counters.invariants_violated, 0);
-        // What may not be executed twice was sent in full once, unless a node rejected it.
+        // A non-idempotent shard request is sent in full only once, unless a node rejected it.
         let rejected = state.context.counters.attempts_rejected;
-        let again = rig.peers.sent_in_full.values().filter(|&&times| times > 1).count() as u64;
-        assert!(again <= rejected, "seed {seed}: {again} sent again, {rejected} rejected");
+        let repeated = rig.peers.sent_in_full.values().filter(|&&count| count > 1).count() as u64;
+        assert!(repeated <= rejected, "seed {seed}: {repeated} sent again, {rejected} rejected");
     }
 }
--- a/crates/query-router/src/router/tests/mod.rs
+++ b/crates/query-router/src/router/tests/mod.rs
@@ -1,5 +1,5 @@
-//! The state machine, given plain values. The files are named for what they test; `event_sequences` draws events of all
-//! kinds.
+//! Tests of the router's state machine, which takes events and returns effects as plain values. Each file tests one
+//! area; `event_sequences` applies random sequences of all events.
 
 mod clients;
 mod connection_limit;
@@ -18,6 +18,8 @@
 use crate::router::Router;
 use crate::router::shutdown::{IDLE_CLOSE_DELAY, KILL_DELAY};
 use balancer::{Actions, AttemptId, AttemptNumber, EndpointUpdate, NodeId, ShardRequestId};
-use rig::{CONFIG, DISCOVERY_PORT, FollowUp, Outgoing, Peers, RecordingPeers, Rig, START, frame, post};
+use rig::{
+    CONFIG, DISCOVERY_PORT, FollowUp, Outgoing, Peers, RecordingPeers, Rig, START, frame, query_request,
+};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
--- a/crates/query-router/src/router/tests/node_connections.rs
+++ b/crates/query-router/src/router/tests/node_connections.rs
@@ -1,57 +1,63 @@
-//! What comes in on node connections, and when they are closed.
+//! Tests of input on node connections, and of the conditions under which they are closed.
 
 use super::*;
 
 #[test]
-fn a_malformed_response_ends_its_connection_and_counts_for_its_own_attempt() {
-    let named = |line: &str| frame(b'Y', &format!("{line}\nalpha"));
-    let mut huge = named("t1.1 OK 5 -");
-    huge[..4].copy_from_slice(&[0xb2, 0xd0, 0x5e, 0]);
-    let mut letter = named("t1.1 OK 5 -");
-    letter[4] = 1;
-    let named = [huge, letter, named("t1.1 ? 5 -"), named("t1.1  5 -"), named("t1.1 OK 5 -\n\0")];
-    let others = [vec![0, 0, 0, 0, 1], b"xxxxxxxx".to_vec(), vec![0, 0, 0, 4, b'Y', b't', b'.', b'1']];
-    for (bytes, malformed) in named.into_iter().map(|b| (b, 1)).chain(others.into_iter().map(|b| (b, 0))) {
+fn a_malformed_response_closes_its_connection_and_ends_its_own_attempt() {
+    let response = |line: &str| frame(b'Y', &format!("{line}\nalpha"));
+    let mut oversized = response("t1.1 OK 5 -");
+    oversized[..4].copy_from_slice(&[0xb2, 0xd0, 0x5e, 0]);
+    let mut unknown_kind = response("t1.1 OK 5 -");
+    unknown_kind[4] = 1;
+    let with_id =
+        [oversized, unknown_kind, response("t1.1 ? 5 -"), response("t1.1  5 -"), response("t1.1 OK 5 -\n\0")];
+    let without_id = [vec![0, 0, 0, 0, 1], b"xxxxxxxx".to_vec(), vec![0, 0, 0, 4, b'Y', b't', b'.', b'1']];
+    for (bytes, malformed) in
+        with_id.into_iter().map(|b| (b, 1)).chain(without_id.into_iter().map(|b| (b, 0)))
+    {
         for split in 1..bytes.len() {
             let mut rig = Rig::new();
-            let client = rig.query("pay", "t1");
+            let client = rig.send_query("pay", "t1");
             let (connection, _) = rig.establish_last();
             rig.receive(connection, &bytes[..split]);
             if !rig.peers.closed.contains(&connection) {
                 rig.receive(connection, &bytes);
             }
             let counters = rig.router.counters();
-            let ends = (
+            let outcomes = (
                 counters.attempts_malformed_response,
                 counters.attempts_cancelled,
                 counters.attempts_connection_lost,
             );
-            assert_eq!((&rig.peers.closed[..], ends), (&[connection][..], (1, 1, 0)), "{bytes:?}");
+            assert_eq!((&rig.peers.closed[..], outcomes), (&[connection][..], (1, 1, 0)), "{bytes:?}");
             assert!(
                 split < bytes.len() - 1
                     || rig.router.state.queries.shard_requests[malformed].attempts[0].outcome.is_some()
             );
             rig.decide();
-            assert!(rig.written(client).starts_with("HTTP/1.1 502"), "it may have run");
+            assert!(
+                rig.written(client).starts_with("HTTP/1.1 502"),
+                "the node may have executed the other shard request"
+            );
         }
     }
 }
 
 #[test]
-fn a_connection_that_fell_silent_is_not_reused() {
+fn a_silent_connection_is_not_reused() {
     let mut rig = Rig::new();
-    rig.query("look", "t1");
+    rig.send_query("look", "t1");
     let (connection, port) = rig.establish_last();
     rig.respond(connection, "t1.0 OK 5 -", "alpha");
-    // Only half of the node's other response comes.
+    // Only part of the other response of the node is received.
     rig.receive(connection, b"\0\0\0\x20Yt1.1 OK 5");
-    rig.pass(249_000);
+    rig.decide_and_advance(249_000);
     assert!(!rig.peers.closed.contains(&connection));
-    rig.pass(2_000);
+    rig.decide_and_advance(2_000);
     assert!(rig.peers.closed.contains(&connection) && rig.router.counters().attempts_malformed_response == 1);
-    // One that has received nothing since an attempt that another overtook is not reused.
+    // A connection that has received nothing since its attempt was overtaken by another and cancelled is not reused.
     let node = if port == 71 { 0 } else { 1 };
-    rig.query("look", "t2");
+    rig.send_query("look", "t2");
     let request = rig
         .router
         .state
@@ -71,21 +77,21 @@
 }
 
 #[test]
-fn bytes_behind_a_good_response_harm_no_query() {
-    for behind in ["noise\r\n", "again", "other"] {
+fn bytes_after_a_valid_response_do_not_fail_the_query() {
+    for trailing in ["noise\r\n", "again", "other"] {
         let mut rig = Rig::new();
-        let client = rig.query("pay", "t1");
+        let client = rig.send_query("pay", "t1");
         let (connection, _) = rig.establish_last();
         rig.respond(connection, "t1.0 OK 5 %%%", "alpha");
-        let good = frame(b'Y', "t1.1 OK 5 =,=\nbeta");
-        let more = match behind {
-            "again" => good.clone(),
+        let valid_response = frame(b'Y', "t1.1 OK 5 =,=\nbeta");
+        let trailing_bytes = match trailing {
+            "again" => valid_response.clone(),
             "other" => frame(b'Y', "t8.1 OK 5 -\nbeta"),
             noise => noise.as_bytes().to_vec(),
         };
-        rig.receive(connection, &[good, more].concat());
+        rig.receive(connection, &[valid_response, trailing_bytes].concat());
         rig.decide();
-        assert!(rig.written(client).starts_with("HTTP/1.1 200"), "{behind}");
+        assert!(rig.written(client).starts_with("HTTP/1.1 200"), "{trailing}");
         assert!(rig.peers.closed.contains(&connection) && rig.router.counters().frames_malformed == 0);
     }
 }
@@ -93,15 +99,15 @@
 #[test]
 fn an_idle_connection_is_closed_before_the_node_closes_it() {
     let mut rig = Rig::new();
-    let client = rig.query("look", "t1");
+    let client = rig.send_query("look", "t1");
     let (connection, _) = rig.establish_last();
     rig.respond(connection, "t1.0 OK 5 -", "alpha");
     rig.respond(connection, "t1.1 OK 5 -", "beta");
     rig.decide();
-    rig.end(client, 0);
-    rig.pass(2_700_000);
+    rig.end_connection(client, 0);
+    rig.decide_and_advance(2_700_000);
     assert!(!rig.peers.closed.contains(&connection));
-    rig.pass(100_000);
+    rig.decide_and_advance(100_000);
     assert!(rig.peers.closed.contains(&connection));
 }
 
@@ -116,6 +122,6 @@
     rig.router.state.check_health(NodeId(0));
     rig.run_effects();
     assert!(rig.router.counters().health_checks_sent == 2 && !rig.peers.closed.contains(&connection));
-    rig.pass(300_000);
+    rig.decide_and_advance(300_000);
     assert!(rig.peers.closed.contains(&connection));
 }
--- a/crates/query-router/src/router/tests/queries.rs
+++ b/crates/query-router/src/router/tests/queries.rs
@@ -1,11 +1,11 @@
-//! Queries from their arrival to their answer.
+//! Tests of queries from their arrival to their response.
 
 use super::*;
 
 #[test]
-fn shard_requests_of_one_decision_share_a_batch_and_make_one_complete_answer() {
+fn shard_requests_of_one_decision_share_a_batch_and_yield_one_complete_response() {
     let mut rig = Rig::new();
-    let client = rig.query("look", "t1");
+    let client = rig.send_query("look", "t1");
     let (connection, _) = rig.establish_last();
     let batch = frame(b'R', "t1.0 0 d=1500 1\nqt1.1 1 d=1500 1\nq");
     assert_eq!(rig.written(connection).as_bytes(), batch);
@@ -28,38 +28,38 @@
     let mut rig = Rig::new();
     rig.router.state.context.limits.decision_interval = 5_000;
     rig.now += 5_000;
-    rig.query("look", "t1");
+    rig.send_query("look", "t1");
     rig.now += 1_000;
-    rig.query("look", "t2");
+    rig.send_query("look", "t2");
     assert_eq!(rig.router.counters().attempts_requested, 2);
-    rig.pass(3_000);
+    rig.decide_and_advance(3_000);
     assert_eq!(rig.router.counters().attempts_requested, 2);
-    rig.pass(1_000);
+    rig.decide_and_advance(1_000);
     assert_eq!(rig.router.counters().attempts_requested, 4);
 }
 
 #[test]
-fn a_query_after_a_decision_wakes_the_router_for_the_next_one() {
+fn a_query_after_a_decision_schedules_the_next_decision() {
     let mut rig = Rig::new();
     rig.router.state.context.limits.decision_interval = 5_000;
-    let client = rig.client();
+    let client = rig.connect_client();
     rig.decide();
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
-    rig.receive(client, post("look", "t1", body).as_bytes());
+    rig.receive(client, query_request("look", "t1", body).as_bytes());
     assert_eq!(rig.router.wake_at, Some(START + 5_000));
 }
 
 #[test]
-fn responses_for_a_client_that_disconnected_are_ignored() {
+fn responses_to_a_query_of_a_disconnected_client_are_ignored() {
     let mut rig = Rig::new();
-    let client = rig.query("look", "t1");
+    let client = rig.send_query("look", "t1");
     let (connection, _) = rig.establish_last();
-    rig.end(client, 0);
+    rig.end_connection(client, 0);
     rig.decide();
     assert_eq!(rig.peers.closed, [client]);
     rig.respond(connection, "t1.0 OK 5 -", "alpha");
     rig.respond(connection, "t1.0 OK 5 -", "alpha");
-    rig.pass(2_000_000);
+    rig.decide_and_advance(2_000_000);
     assert_eq!((rig.written(client), rig.router.counters().responses_late), (String::new(), 1));
     assert_eq!(
         (rig.router.counters().attempts_timed_out, rig.router.state.queries.shard_requests.len()),
@@ -68,17 +68,17 @@
 }
 
 #[test]
-fn a_query_over_the_limit_is_rejected_before_the_balancer_is_told() {
+fn a_query_over_the_limit_is_rejected_without_a_call_to_the_balancer() {
     let mut rig = Rig::new();
-    let clients: Vec<ConnectionId> = (0..3).map(|i| rig.query("look", &format!("t{i}"))).collect();
+    let clients: Vec<ConnectionId> = (0..3).map(|i| rig.send_query("look", &format!("t{i}"))).collect();
     assert!(rig.written(clients[2]).starts_with("HTTP/1.1 503"));
     assert_eq!((rig.written(clients[1]), rig.router.counters().queries_over_limit), (String::new(), 1));
 }
 
 #[test]
-fn a_query_with_an_id_in_progress_is_rejected() {
+fn a_query_with_the_id_of_a_query_in_progress_is_rejected() {
     let mut rig = Rig::new();
-    rig.query("look", "t1");
-    let client = rig.query("look", "t1");
+    rig.send_query("look", "t1");
+    let client = rig.send_query("look", "t1");
     assert!(rig.written(client).starts_with("HTTP/1.1 400"));
 }
--- a/crates/query-router/src/router/tests/rig.rs
+++ b/crates/query-router/src/router/tests/rig.rs
@@ -1,5 +1,5 @@
-//! The state machine with simulated peers. Effects are carried out in the order of the event loop, and the events that
-//! follow from them are reported afterwards.
+//! A test rig that connects the router's state machine to simulated peers. Effects are applied in the order of the
+//! event loop, and the events that result from them are reported afterwards.
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect, Event};
@@ -12,12 +12,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// When a test begins.
+/// The time at which each test starts.
 pub const START: Micros = 1_700_000_000_000_000;
-/// Discovery's port in [`CONFIG`]; all other ports are data nodes'.
+/// The port of discovery in [`CONFIG`]; all other ports belong to data nodes.
 pub const DISCOVERY_PORT: u16 = 9;
 
-/// Two nodes in one replica set, six connections, polled discovery.
+/// A configuration with two nodes in one replica set, at most six connections and polled discovery.
 pub const CONFIG: &str = r#"{"name":"r0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"2a",
     "limits":{"sockets":22},"new":true,
     "known":{"revision":41,"complete":true,"members":[
@@ -32,18 +32,18 @@
         {"name":"look","idempotency":"read_like","targetNs":1000000000,"deadlineNs":2000000000},
         {"name":"pay","idempotency":"non_idempotent","targetNs":1000000000,"deadlineNs":2000000000}]}}"#;
 
-/// An event that follows from an effect.
+/// An event that results from an effect and is reported after the remaining effects are applied.
 pub enum FollowUp {
-    /// A connection has ended.
+    /// Reports [`Event::Ended`].
     Ended {
-        /// The id that it had.
+        /// The id that the connection had.
         connection: ConnectionId,
-        /// How many bytes were written on it in all.
+        /// The total number of bytes that were written on the connection.
         written_bytes: u64,
     },
-    /// Everything is written.
+    /// Reports [`Event::Flushed`].
     Flushed(ConnectionId),
-    /// What was received and not consumed is reported once more.
+    /// Reports the unconsumed bytes of the connection in another [`Event::Received`].
     Redeliver(ConnectionId),
 }
 
@@ -54,57 +54,57 @@
     }
 }
 
-/// The peers of all connections.
+/// The simulated peers of all connections.
 pub trait Peers {
-    /// Carries out an effect on a connection.
-    fn carry_out(&mut self, router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>);
+    /// Applies an effect to its connection, and queues the events that result from it.
+    fn apply_effect(&mut self, router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>);
 
-    /// The bytes that were received on a connection and not consumed, if the peers keep them.
+    /// Returns the received and unconsumed bytes of a connection, or `None` if the peers do not keep them.
     fn unconsumed(&self, id: ConnectionId) -> Option<Vec<u8>>;
 }
 
-/// A router and its peers.
+/// A router with its simulated peers and clock.
 pub struct Rig<P> {
     pub router: Router,
     pub now: Micros,
     pub peers: P,
     pub follow_ups: VecDeque<FollowUp>,
-    /// Whether the router has asked for the end of the process.
-    pub exit: bool,
+    /// Whether the router has requested the end of the process.
+    pub exit_requested: bool,
 }
 
 impl<P: Peers> Rig<P> {
-    /// A router of this configuration that has made its first decision.
+    /// Creates a router with this configuration, which makes its first decision.
     pub fn with_peers(config: &Config, peers: P) -> Rig<P> {
         let router = Router::new(config, START);
-        let mut rig = Rig { router, now: START, peers, follow_ups: VecDeque::new(), exit: false };
+        let mut rig = Rig { router, now: START, peers, follow_ups: VecDeque::new(), exit_requested: false };
         rig.decide();
         rig
     }
 
-    /// Reports an event and carries out what the router asks for.
+    /// Reports an event and applies the resulting effects.
     pub fn step(&mut self, event: Event) {
         self.router.step(self.now, event);
         self.run_effects();
     }
 
-    /// Bytes come in on a connection: all that were not consumed yet.
+    /// Reports received bytes of a connection. `bytes` starts with the first unconsumed byte.
     pub fn receive(&mut self, connection: ConnectionId, bytes: &[u8]) {
         self.step(Event::Received { connection, bytes });
     }
 
-    /// A connection ends, on which this number of bytes was written.
-    pub fn end(&mut self, connection: ConnectionId, written_bytes: u64) {
+    /// Reports the end of a connection on which `written_bytes` bytes were written.
+    pub fn end_connection(&mut self, connection: ConnectionId, written_bytes: u64) {
         self.step(Event::Ended { connection, written_bytes });
     }
 
-    /// Ends an event-loop iteration.
+    /// Makes a decision, as at the end of an event-loop iteration.
     pub fn decide(&mut self) {
         self.router.decide(self.now);
         self.run_effects();
     }
 
-    /// Carries out what the router asks for, until nothing is left.
+    /// Applies effects and reports the events that result from them until none are left.
     pub fn run_effects(&mut self) {
         loop {
             for effect in self.router.take_effects() {
@@ -127,16 +127,16 @@
 
     fn run_effect(&mut self, effect: Effect) {
         match effect {
-            Effect::Exit => self.exit = true,
+            Effect::Exit => self.exit_requested = true,
             Effect::Close(id) => {
-                self.peers.carry_out(&self.router, effect, &mut self.follow_ups);
+                self.peers.apply_effect(&self.router, effect, &mut self.follow_ups);
                 self.follow_ups.retain(|follow_up| follow_up.connection() != id);
             }
-            effect => self.peers.carry_out(&self.router, effect, &mut self.follow_ups),
+            effect => self.peers.apply_effect(&self.router, effect, &mut self.follow_ups),
         }
     }
 
-    /// Lets time pass, waking the router whenever it asked to be.
+    /// Advances the clock by `span` and wakes the router at each time that it requested.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(at) = self.router.wake_at.filter(|&at| at <= end) {
@@ -148,38 +148,38 @@
     }
 }
 
-/// A connection that the router opened.
+/// A connection to a node or to discovery that the router opened.
 #[derive(Clone, Copy, Debug)]
 pub struct Outgoing {
     pub id: ConnectionId,
-    /// The port that it leads to.
+    /// The port of the remote address.
     pub port: u16,
 }
 
-/// Peers that do nothing by themselves and record what the router does.
+/// Peers that send nothing on their own and record the effects that the router requests.
 #[derive(Default)]
 pub struct RecordingPeers {
-    /// What was written on each connection.
+    /// The bytes that were written on each connection.
     pub written: BTreeMap<ConnectionId, Vec<u8>>,
-    /// The open connections to nodes and to discovery.
+    /// The open connections to nodes and discovery, in the order in which they were opened.
     pub outgoing: Vec<Outgoing>,
-    /// The client connections accepted.
+    /// The accepted client connections, including those that are closed by now.
     pub accepted: Vec<ConnectionId>,
-    /// The connections closed.
+    /// The closed connections, in the order in which they were closed.
     pub closed: Vec<ConnectionId>,
-    /// The connections closed for writing.
+    /// The connections whose writing side was closed.
     pub half_closed: Vec<ConnectionId>,
-    /// Whether only the start of what is written is taken.
+    /// Whether each write is partial: only its first [`STALLED_WRITE_BYTES`] bytes are accepted.
     pub writes_stall: bool,
-    /// Connections on which bytes have come in that were not reported yet.
+    /// Connections with received bytes that are not reported yet.
     pub unread: Vec<ConnectionId>,
 }
 
-/// How much is taken of what is written while writes stall.
+/// The number of bytes that are accepted of each write while writes stall.
 const STALLED_WRITE_BYTES: usize = 12;
 
 impl Peers for RecordingPeers {
-    fn carry_out(&mut self, _router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>) {
+    fn apply_effect(&mut self, _router: &Router, effect: Effect, follow_ups: &mut VecDeque<FollowUp>) {
         match effect {
             Effect::Accept(id) => self.accepted.push(id),
             Effect::Connect { connection: id, address } => {
@@ -187,8 +187,8 @@
             }
             Effect::Write { connection: id, buffers }
             | Effect::WriteIfOpen { connection: id, buffers, .. } => {
-                let taken = if self.writes_stall { STALLED_WRITE_BYTES } else { usize::MAX };
-                let bytes = buffers.iter().flat_map(|buffer| buffer.iter().copied()).take(taken);
+                let write_limit = if self.writes_stall { STALLED_WRITE_BYTES } else { usize::MAX };
+                let bytes = buffers.iter().flat_map(|buffer| buffer.iter().copied()).take(write_limit);
                 self.written.entry(id).or_default().extend(bytes);
                 if !self.writes_stall {
                     follow_ups.push_back(FollowUp::Flushed(id));
@@ -222,39 +222,39 @@
 }
 
 impl Rig<RecordingPeers> {
-    /// A router of [`CONFIG`].
+    /// Creates a router with [`CONFIG`].
     pub fn new() -> Self {
         Self::with_config(CONFIG)
     }
 
-    /// A router of this configuration.
+    /// Creates a router with this configuration in JSON.
     pub fn with_config(config: &str) -> Self {
-        let config = Config::parse(config).expect("a configuration");
+        let config = Config::parse(config).expect("a valid configuration");
         Rig::with_peers(&config, RecordingPeers::default())
     }
 
-    /// Ends the iteration, then lets time pass.
-    pub fn pass(&mut self, span: Micros) {
+    /// Makes a decision, then advances the clock by `span`.
+    pub fn decide_and_advance(&mut self, span: Micros) {
         self.decide();
         self.advance(span);
     }
 
-    /// A client connects.
-    pub fn client(&mut self) -> ConnectionId {
+    /// Connects a client and returns the last accepted connection.
+    pub fn connect_client(&mut self) -> ConnectionId {
         self.step(Event::ClientConnected);
-        *self.peers.accepted.last().expect("a client")
+        *self.peers.accepted.last().expect("an accepted client connection")
     }
 
-    /// A client's query for two shards, decided on.
-    pub fn query(&mut self, class: &str, id: &str) -> ConnectionId {
-        let client = self.client();
+    /// Sends a query for two shards on a new client connection and makes a decision. Returns the client connection.
+    pub fn send_query(&mut self, class: &str, id: &str) -> ConnectionId {
+        let client = self.connect_client();
         let body = r#"{"segments":[{"segment":0,"boost":0.5},{"segment":1,"boost":0.5}],"text":"q"}"#;
-        self.receive(client, post(class, id, body).as_bytes());
+        self.receive(client, query_request(class, id, body).as_bytes());
         self.decide();
         client
     }
 
-    /// Establishes the last connection to a data node; its id and port.
+    /// Reports the last opened node connection as established. Returns its id and its remote port.
     pub fn establish_last(&mut self) -> (ConnectionId, u16) {
         let last = self.peers.outgoing.iter().rfind(|outgoing| outgoing.port != DISCOVERY_PORT);
         let Outgoing { id, port } = *last.expect("a node connection");
@@ -262,57 +262,57 @@
         (id, port)
     }
 
-    /// What was written on a connection, as text.
+    /// Returns the bytes that were written on a connection, as text.
     pub fn written(&self, id: ConnectionId) -> String {
         String::from_utf8_lossy(self.peers.written.get(&id).map_or(&[], Vec::as_slice)).into_owned()
     }
 
-    /// A node responds to a shard request.
+    /// Reports the response of a node to a shard request: its first line and its value.
     pub fn respond(&mut self, node_connection: ConnectionId, line: &str, value: &str) {
         self.receive(node_connection, &frame(b'Y', &format!("{line}\n{value}")));
     }
 
-    /// Puts the waiting batches on connections, without a decision.
+    /// Sends the waiting batches to connections, without a decision.
     pub fn send_batches(&mut self) {
         let State { context, queries, dispatcher, .. } = &mut self.router.state;
         dispatcher.send_batches(context, queries);
         self.run_effects();
     }
 
-    /// Chooses or opens a connection for shard requests with these ids.
+    /// Selects or opens a node connection for shard requests with these ids.
     pub fn select_connection(&mut self, node: usize, ids: &[Rc<str>]) -> Option<ConnectionId> {
         let State { context, queries, .. } = &mut self.router.state;
         node_connections::select_connection(context, queries, NodeId(node), ids)
     }
 
-    /// Polls discovery, as the balancer may ask at any time.
-    pub fn poll(&mut self) -> ConnectionId {
+    /// Polls discovery, as the balancer may request at any time. Returns the connection of the poll.
+    pub fn poll_discovery(&mut self) -> ConnectionId {
         let poll = self.router.state.discovery.poll(&mut self.router.state.context);
         self.run_effects();
-        poll.expect("a connection")
+        poll.expect("a connection for the poll")
     }
 
-    /// Applies an endpoint list, without carrying out what the router asks for.
-    pub fn apply_list(&mut self, list: &Json, update: EndpointUpdate) {
+    /// Applies an endpoint list, without applying the resulting effects.
+    pub fn apply_endpoint_list(&mut self, list: &Json, update: EndpointUpdate) {
         self.router.state.context.now = self.now;
         self.router.apply_endpoint_list(&EndpointList { update, json: list.clone() });
     }
 
-    /// How many endpoints are ready.
+    /// Returns the number of ready endpoints.
     pub fn ready_endpoints(&self) -> usize {
         self.router.state.context.endpoints.ready_count()
     }
 }
 
-/// A client's request for a query.
-pub fn post(class: &str, id: &str, body: &str) -> String {
+/// Formats a client's HTTP request with a query, which expires in 1500 ms.
+pub fn query_request(class: &str, id: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "POST /api HTTP/1.1\r\nX-Qos: {class}\r\nX-Trace-Id: {id}\r\nX-Expires-In-Ms: 1500\r\nContent-Length: {length}\r\n\r\n{body}"
     )
 }
 
-/// A frame of a data node.
-pub fn frame(letter: u8, content: &str) -> Vec<u8> {
-    [&crate::protocol::frames::head(letter, content.len())[..], content.as_bytes()].concat()
+/// Encodes a frame of the node protocol.
+pub fn frame(kind: u8, content: &str) -> Vec<u8> {
+    [&crate::protocol::frames::head(kind, content.len())[..], content.as_bytes()].concat()
 }
