--- a/crates/cli/tests/loopback/main.rs
+++ b/crates/cli/tests/loopback/main.rs
@@ -1,5 +1,5 @@
-//! The program as it is started, on real connections: tests of complete queries, and tests that each force
-//! one order of events which is rare otherwise.
+//! Tests of the router as a process on loopback connections: complete queries, and orders of events that rarely occur
+//! unless a test forces them.
 
 mod discovery;
 mod node_connections;
--- a/crates/cli/tests/loopback/node_connections.rs
+++ b/crates/cli/tests/loopback/node_connections.rs
@@ -1,11 +1,11 @@
-//! Connections to data nodes: what must not be sent on them, and when they are not used again.
+//! Tests of connections to data nodes: which shard requests must not be sent on them, and when they are not reused.
 
 use crate::rig::{DataNode, FullBacklogNode, LONG_DEADLINE, frame, start_with_node};
 use std::time::{Duration, Instant};
 use test_servers::member;
 
 #[test]
-fn query_of_a_disconnected_client_is_not_sent_on_a_late_connection() {
+fn query_of_a_disconnected_client_is_not_sent_on_a_connection_established_later() {
     let node = FullBacklogNode::new();
     let (router, _discovery) = start_with_node("disconnected", node.address, LONG_DEADLINE);
     let mut client = router.connect();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn connection_established_after_the_deadline_carries_nothing() {
+fn connection_established_after_the_deadline_receives_no_bytes() {
     let node = FullBacklogNode::new();
     let deadline = Duration::from_millis(1_500);
     let (router, _discovery) = start_with_node("late", node.address, deadline);
@@ -67,14 +67,14 @@
     let mut node_connection = node.accept();
     std::thread::sleep((deadline + Duration::from_millis(1)).saturating_sub(started.elapsed()));
     router.resume();
-    // Nothing was sent, so the query is safe to retry.
+    // 503 tells the client that the query was not executed and can be retried, since no bytes were sent to the node.
     assert_eq!(client.read_response().0, "HTTP/1.1 503 Service Unavailable");
     router.terminate();
     assert_eq!(node_connection.read_to_end(), b"");
 }
 
 #[test]
-fn connection_with_half_a_frame_is_not_reused() {
+fn connection_with_an_incomplete_frame_is_not_reused() {
     let node = DataNode::new();
     let (router, _discovery) = start_with_node("half", node.address, LONG_DEADLINE);
     let mut client = router.connect();
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn connection_is_not_reused_after_the_node_could_not_use_a_frame() {
+fn connection_is_not_reused_after_the_node_could_not_parse_a_frame() {
     let node = DataNode::new();
     let (router, _discovery) = start_with_node("not-understood", node.address, LONG_DEADLINE);
     let mut client = router.connect();
--- a/crates/cli/tests/loopback/resource_limits.rs
+++ b/crates/cli/tests/loopback/resource_limits.rs
@@ -1,4 +1,5 @@
-//! Limits on sockets and memory: what waits or is rejected, and who is not affected.
+//! Tests of the limits on sockets and memory: which requests wait or are rejected, and that other clients are
+//! unaffected.
 
 use crate::rig::{
     DataNode, FullBacklogNode, LONG_DEADLINE, RouterProcess, config, discovery_with_node, frame,
@@ -7,18 +8,18 @@
 use std::time::Duration;
 use test_servers::Discovery;
 
-/// A router with sockets for discovery's watch and one client.
-fn start_with_two_sockets(name: &str, node: &DataNode) -> (RouterProcess, Discovery) {
+/// Starts a router whose socket limit allows the watch of discovery and one client connection.
+fn start_with_two_sockets(test_name: &str, node: &DataNode) -> (RouterProcess, Discovery) {
     let discovery = discovery_with_node(node.address);
     let mut config = config(discovery.at, LONG_DEADLINE);
     config["limits"]["sockets"] = 18.into();
-    // Attempts cannot be cancelled, so they end with their deadline.
+    // Cancelling is disabled, so attempts end only at their deadline.
     config["settings"]["ceilings"]["cancelling"] = false.into();
-    (RouterProcess::start(name, &config), discovery)
+    (RouterProcess::start(test_name, &config), discovery)
 }
 
 #[test]
-fn disconnect_of_a_client_that_sent_much_is_noticed_while_its_query_waits() {
+fn disconnect_of_a_client_with_much_unread_data_is_detected_while_its_query_waits() {
     let node = FullBacklogNode::new();
     let (router, _discovery) = start_with_node("much", node.address, LONG_DEADLINE);
     let mut client = router.connect();
@@ -33,27 +34,27 @@
 }
 
 #[test]
-fn incomplete_requests_leave_memory_to_others() {
+fn incomplete_requests_over_the_memory_limit_are_rejected_and_other_clients_are_served() {
     let node = DataNode::new();
     let discovery = discovery_with_node(node.address);
     let mut config = config(discovery.at, LONG_DEADLINE);
     config["limits"]["memory_mb"] = 4.into();
     let router = RouterProcess::start("memory", &config);
     router.wait_for_counter("endpoint_lists_full", 2);
-    // Each is within the limit of a request; 18 of them take over a quarter of the memory.
+    // Each request is within the limit on the size of a request, and 18 of them exceed a quarter of the memory limit.
     let incomplete_request =
         format!("POST /api HTTP/1.1\r\nContent-Length: 61000\r\n\r\n{}", "x".repeat(60_000));
     let mut clients: Vec<_> = (0..18).map(|_| router.connect()).collect();
     router.wait_for_counter("client_connections_arrived", 18);
     clients.iter_mut().for_each(|client| client.send(&incomplete_request));
     router.wait_for_counter("requests_over_memory", 1);
-    let rejected = loop {
+    let rejected_index = loop {
         if let Some(index) = clients.iter().position(|client| client.has_response()) {
             break index;
         }
         std::thread::yield_now();
     };
-    let mut rejected = clients.remove(rejected);
+    let mut rejected = clients.remove(rejected_index);
     assert_eq!(rejected.read_response().0, "HTTP/1.1 503 Service Unavailable");
     assert!(rejected.read_to_end().is_empty());
     let mut other = router.connect();
@@ -62,7 +63,7 @@
     assert_eq!(node_connection.read_frame().0, 'R');
     node_connection.send(&frame(b'Y', "t1.0 OK 5 -\none"));
     assert_eq!(other.read_response().0, "HTTP/1.1 200 OK");
-    // The other incomplete requests were kept until they were complete.
+    // The remaining incomplete requests are kept until they are complete.
     for client in &mut clients {
         client.send(&"x".repeat(1_000));
         assert_eq!(client.read_response().0, "HTTP/1.1 400 Bad Request");
@@ -73,7 +74,7 @@
 }
 
 #[test]
-fn query_that_waits_for_a_socket_until_its_deadline_fails_alone() {
+fn query_that_waits_for_a_socket_until_its_deadline_does_not_affect_the_next_query() {
     let node = DataNode::new();
     let (router, _discovery) = start_with_two_sockets("socket", &node);
     let mut client = router.connect();
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn query_whose_client_disconnected_while_it_waited_for_a_socket_ends_alone() {
+fn query_whose_client_disconnects_while_it_waits_for_a_socket_does_not_affect_the_next_query() {
     let node = DataNode::new();
     let (mut router, _discovery) = start_with_two_sockets("disconnected-socket", &node);
     let mut client = router.connect();
--- a/crates/cli/tests/loopback/rig/client.rs
+++ b/crates/cli/tests/loopback/rig/client.rs
@@ -1,33 +1,33 @@
-//! A client of the router.
+//! A client that sends HTTP requests to the router.
 
 use super::MAX_WAIT;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How long a client tries to send what the router may not read.
+/// The maximum time for which [`Client::flood`] tries to send, since the router may not read all of the bytes.
 const MAX_FLOOD_WAIT: Duration = Duration::from_secs(3);
 
-/// A client's connection.
+/// A client's connection to the router. Reads and writes fail after [`MAX_WAIT`].
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects to a router.
+    /// Connects to a router that listens on `address`.
     pub fn connect(address: &str) -> Client {
-        let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(MAX_WAIT)).expect("a timeout");
-        stream.set_write_timeout(Some(MAX_WAIT)).expect("a timeout");
+        let stream = TcpStream::connect(address).expect("the router accepts a connection");
+        stream.set_read_timeout(Some(MAX_WAIT)).expect("the read timeout can be set");
+        stream.set_write_timeout(Some(MAX_WAIT)).expect("the write timeout can be set");
         Client(BufReader::new(stream))
     }
 
-    /// Sends bytes, all of which the router must take.
+    /// Sends bytes. Panics if the router does not read all of them in time.
     pub fn send(&mut self, bytes: &str) {
-        self.0.get_mut().write_all(bytes.as_bytes()).expect("the router reads");
+        self.0.get_mut().write_all(bytes.as_bytes()).expect("the router reads all bytes");
     }
 
-    /// Sends as much of these bytes as the router takes.
+    /// Sends as many of these bytes as the router reads within [`MAX_FLOOD_WAIT`].
     pub fn flood(&mut self, bytes: &[u8]) {
-        self.0.get_mut().set_write_timeout(Some(MAX_FLOOD_WAIT)).expect("a timeout");
+        self.0.get_mut().set_write_timeout(Some(MAX_FLOOD_WAIT)).expect("the write timeout can be set");
         let _ = self.0.get_mut().write_all(bytes);
     }
 
@@ -36,44 +36,47 @@
         self.send(&query(class, id, deadline));
     }
 
-    /// The status line and the body of the next response.
+    /// Reads the next response and returns its status line and its body.
     pub fn read_response(&mut self) -> (String, String) {
         let (mut status, mut length) = (String::new(), 0);
-        self.0.read_line(&mut status).expect("a response");
+        self.0.read_line(&mut status).expect("a status line");
         let status = status.strip_suffix("\r\n").expect("a complete status line");
         loop {
             let mut line = String::new();
-            assert!(self.0.read_line(&mut line).expect("a head") > 0, "the head of {status:?} ends early");
+            assert!(
+                self.0.read_line(&mut line).expect("a header line") > 0,
+                "connection closed in the header of the response {status:?}"
+            );
             if let Some(value) = line.strip_prefix("Content-Length: ") {
-                length = value.trim().parse().expect("a length");
+                length = value.trim().parse().expect("a number in Content-Length");
             }
             if line == "\r\n" {
                 break;
             }
         }
         let mut body = vec![0; length];
-        self.0.read_exact(&mut body).expect("a body");
-        (status.to_string(), String::from_utf8(body).expect("text"))
+        self.0.read_exact(&mut body).expect("a complete body");
+        (status.to_string(), String::from_utf8(body).expect("a body in UTF-8"))
     }
 
-    /// Whether something has come that was not read.
+    /// Returns whether unread bytes have arrived or the router has closed the connection.
     pub fn has_response(&self) -> bool {
         let stream = self.0.get_ref();
-        stream.set_nonblocking(true).expect("a mode");
+        stream.set_nonblocking(true).expect("the blocking mode can be set");
         let peeked = stream.peek(&mut [0]);
-        stream.set_nonblocking(false).expect("a mode");
+        stream.set_nonblocking(false).expect("the blocking mode can be set");
         peeked.is_ok()
     }
 
-    /// All that comes until the router closes, which it must do without a reset.
+    /// Reads until the router closes the connection, and returns the bytes as text. Panics on a connection reset.
     pub fn read_to_end(&mut self) -> String {
         let mut rest = String::new();
-        self.0.read_to_string(&mut rest).expect("a clean close");
+        self.0.read_to_string(&mut rest).expect("an orderly close");
         rest
     }
 }
 
-/// The bytes of a query for shard 0.
+/// Formats the HTTP request of a query for shard 0.
 pub fn query(class: &str, id: &str, deadline: Duration) -> String {
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
     let (length, deadline_ms) = (body.len(), deadline.as_millis());
--- a/crates/cli/tests/loopback/rig/config_file.rs
+++ b/crates/cli/tests/loopback/rig/config_file.rs
@@ -1,4 +1,4 @@
-//! A configuration file that the router reads as slowly as the test wants.
+//! A configuration file whose content the router receives at a time that the test chooses.
 
 use super::{MAX_WAIT, config_path};
 use rustix::fs::{CWD, FileType, Mode, OFlags, mknodat, open};
@@ -6,33 +6,33 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
-/// A named pipe in place of a configuration file: the router blocks in its reading until the test has
-/// written.
+/// A named pipe in place of a configuration file. A router that reads it blocks until the test has written the content
+/// and closed the pipe. The pipe is removed on drop.
 pub struct BlockingConfigFile(PathBuf);
 
 impl BlockingConfigFile {
-    /// Creates the pipe.
+    /// Creates the pipe at a path that contains the name of the test.
     pub fn new(test_name: &str) -> BlockingConfigFile {
         let path = config_path(test_name);
-        mknodat(CWD, &path, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0).expect("a pipe");
+        mknodat(CWD, &path, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0).expect("a named pipe can be created");
         BlockingConfigFile(path)
     }
 
-    /// The path to start a router with.
+    /// Returns the path of the pipe, to start a router with.
     pub fn path(&self) -> &str {
-        self.0.to_str().expect("a path")
+        self.0.to_str().expect("a path in UTF-8")
     }
 
-    /// Waits until a router has begun to read, and returns the end to write to.
+    /// Waits until a router has opened the pipe, and returns the end to write to.
     pub fn wait_for_reader(&self) -> File {
         let started = Instant::now();
         loop {
-            // Opening fails as long as nobody reads the pipe.
+            // Opening fails until a reader has opened the pipe.
             let options = OFlags::WRONLY | OFlags::NONBLOCK;
             if let Ok(file) = open(&self.0, options, Mode::empty()) {
                 return File::from(file);
             }
-            assert!(started.elapsed() < MAX_WAIT, "nobody reads the configuration");
+            assert!(started.elapsed() < MAX_WAIT, "the router did not open its configuration file in time");
             std::thread::sleep(Duration::from_millis(2));
         }
     }
--- a/crates/cli/tests/loopback/rig/faulty_router.rs
+++ b/crates/cli/tests/loopback/rig/faulty_router.rs
@@ -1,14 +1,14 @@
-//! A router whose system calls fail and whose wall clock is wrong as a test says.
+//! A router with injected faults: system calls that fail, and a wall clock that is shifted.
 
 use super::{RouterProcess, config_path};
 use fault_control::Control;
 use serde_json::Value as Json;
 use std::path::{Path, PathBuf};
 
-/// A router started with the library that injects faults.
+/// A router process with the preloaded library that injects faults.
 pub struct FaultyRouter {
     pub process: RouterProcess,
-    /// What the library is asked to do.
+    /// The control file through which the test requests faults.
     pub control: Control,
     /// The configuration file, which is removed once the router listens.
     pub config_file: TemporaryFile,
@@ -17,15 +17,16 @@
 }
 
 impl FaultyRouter {
-    /// Starts a router with this configuration, under what `prepare` asks for, and waits until it listens.
+    /// Starts a router with this configuration and the faults that `prepare` requests, and waits until it listens.
     pub fn start(test_name: &str, config: &Json, prepare: impl FnOnce(&Control)) -> FaultyRouter {
         let mut router = FaultyRouter::spawn(test_name, config, prepare, None);
         router.process.wait_until_listening();
-        std::fs::remove_file(&router.config_file.0).expect("the file is read by now");
+        std::fs::remove_file(&router.config_file.0).expect("the configuration file can be removed");
         router
     }
 
-    /// Starts a router with this configuration and this operator's file, and waits for nothing.
+    /// Starts a router with this configuration, operator file and the faults that `prepare` requests, without waiting
+    /// until it listens.
     pub fn spawn_with_operator_file(
         test_name: &str, config: &Json, operator_file: &str, prepare: impl FnOnce(&Control),
     ) -> FaultyRouter {
@@ -40,7 +41,7 @@
         let config_file = TemporaryFile(config_path(test_name));
         let control_file = TemporaryFile(config_file.0.with_extension("faults"));
         config_file.write(&config.to_string());
-        let control = Control::create(&control_file.0, 1).expect("a control file");
+        let control = Control::create(&control_file.0, 1).expect("the control file can be created");
         prepare(&control);
         let program = Path::new(env!("CARGO_BIN_EXE_query-router"));
         let mut command = fault_control::command(program, &control_file.0);
@@ -58,13 +59,13 @@
     }
 }
 
-/// A file that is removed in the end.
+/// A file that is removed on drop.
 pub struct TemporaryFile(PathBuf);
 
 impl TemporaryFile {
-    /// Writes the file.
+    /// Replaces the content of the file.
     pub fn write(&self, text: &str) {
-        std::fs::write(&self.0, text).expect("a file");
+        std::fs::write(&self.0, text).expect("the file can be written");
     }
 }
 
--- a/crates/cli/tests/loopback/rig/mod.rs
+++ b/crates/cli/tests/loopback/rig/mod.rs
@@ -1,5 +1,5 @@
-//! The router as a process, and the other ends of its connections, which hold back, cut or send what a test
-//! says.
+//! A test rig that runs the router as a process. The test controls the clients, data nodes and discovery at the other
+//! ends of its connections: what they send, and when they accept, delay or close.
 
 mod client;
 mod config_file;
@@ -22,14 +22,14 @@
 use std::time::Duration;
 use test_servers::{Discovery, member};
 
-/// How long a test waits for something before it fails.
+/// The maximum time that a test waits for an event before it fails.
 const MAX_WAIT: Duration = Duration::from_secs(30);
 
-/// A deadline that no test reaches.
+/// A deadline that expires in no test.
 pub const LONG_DEADLINE: Duration = Duration::from_secs(20);
 
-/// A configuration with this discovery and two service classes of this deadline: `look`, which is idempotent,
-/// and `pay`, which is not.
+/// Returns a configuration with this address of discovery and two service classes with this deadline: `look`, which is
+/// idempotent, and `pay`, which is not.
 pub fn config(discovery: SocketAddr, deadline: Duration) -> Json {
     let class = |name: &str, idempotency: &str| json!({"name": name, "idempotency": idempotency, "deadlineNs": deadline.as_nanos() as u64});
     json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery, "seed": "2a",
@@ -42,25 +42,25 @@
             "services": [class("look", "read_like"), class("pay", "non_idempotent")]}})
 }
 
-/// A discovery that lists one node, which is ready.
+/// Starts a discovery service whose endpoint list has one ready node.
 pub fn discovery_with_node(node: SocketAddr) -> Discovery {
     Discovery::start(8, vec![member("a", &node.to_string(), "z", 0, "ready", 0)])
 }
 
-/// An entry of the endpoint list: a node that is ready and started at this time.
+/// Returns an entry of the endpoint list: a ready node that started at this time.
 pub fn node_entry(id: &str, node: SocketAddr, up_since_ms: i64) -> Json {
     member(id, &node.to_string(), "z", 0, "ready", up_since_ms)
 }
 
-/// A router with one node, once it knows that node.
-pub fn start_with_node(name: &str, node: SocketAddr, deadline: Duration) -> (RouterProcess, Discovery) {
+/// Starts a router and a discovery service with one node, and waits until the router has received the endpoint list.
+pub fn start_with_node(test_name: &str, node: SocketAddr, deadline: Duration) -> (RouterProcess, Discovery) {
     let discovery = discovery_with_node(node);
-    let router = RouterProcess::start(name, &config(discovery.at, deadline));
+    let router = RouterProcess::start(test_name, &config(discovery.at, deadline));
     router.wait_for_counter("endpoint_lists_full", 2);
     (router, discovery)
 }
 
-/// The path of a configuration file for the test of this name.
+/// Returns the path of the configuration file for a test.
 fn config_path(test_name: &str) -> PathBuf {
     std::env::temp_dir().join(format!("yewpier-{test_name}-{}.json", std::process::id()))
 }
--- a/crates/cli/tests/loopback/rig/router_process.rs
+++ b/crates/cli/tests/loopback/rig/router_process.rs
@@ -1,4 +1,4 @@
-//! The router as a process.
+//! The router as a process, its log and its counters.
 
 use super::{Client, MAX_WAIT, config_path};
 use rustix::process::{Pid, Signal, kill_process};
@@ -8,7 +8,7 @@
 use std::process::{Child, ChildStderr, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A router, which is killed at the end of the test if it still runs.
+/// A router process, which is killed on drop if it is still running.
 pub struct RouterProcess {
     child: Child,
     log: BufReader<ChildStderr>,
@@ -16,88 +16,88 @@
 }
 
 impl RouterProcess {
-    /// Starts a router with this configuration and waits until it listens.
+    /// Starts a router with this configuration and waits until it listens. The configuration file is removed then.
     pub fn start(test_name: &str, config: &Json) -> RouterProcess {
         let path = config_path(test_name);
-        std::fs::write(&path, config.to_string()).expect("a file");
-        let mut router = RouterProcess::spawn(path.to_str().expect("a path"));
+        std::fs::write(&path, config.to_string()).expect("the configuration file can be written");
+        let mut router = RouterProcess::spawn(path.to_str().expect("a path in UTF-8"));
         router.wait_until_listening();
-        std::fs::remove_file(&path).expect("the file is read by now");
+        std::fs::remove_file(&path).expect("the configuration file can be removed");
         router
     }
 
-    /// Starts a router that reads this configuration file, and waits for nothing.
+    /// Starts a router that reads this configuration file, without waiting until it listens.
     pub fn spawn(config_path: &str) -> RouterProcess {
         let program = Command::new(env!("CARGO_BIN_EXE_query-router"));
         RouterProcess::spawn_command(program, config_path.as_ref())
     }
 
-    /// Starts a router by this command, with this configuration file, and waits for nothing.
+    /// Starts a router with this command and this configuration file, without waiting until it listens.
     pub fn spawn_command(mut command: Command, config_path: &Path) -> RouterProcess {
         let mut child = command
             .args(["serve", "--config"])
             .arg(config_path)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the router starts");
-        let log = BufReader::new(child.stderr.take().expect("a log"));
+            .expect("the router can be started");
+        let log = BufReader::new(child.stderr.take().expect("a pipe for standard error"));
         RouterProcess { child, log, address: String::new() }
     }
 
-    /// Waits for the first log line, which states the address that the router listens on. Only attempts to start that
-    /// are repeated may be logged before.
+    /// Waits for the log line that states the address on which the router listens. Only lines about delayed attempts to
+    /// start may precede it.
     pub fn wait_until_listening(&mut self) {
         let mut line = self.read_log_line();
         while line.contains("start delayed") {
             line = self.read_log_line();
         }
         assert!(line.contains("query router started"), "{line:?}");
-        let (_, address) = line.trim().rsplit_once(" address=").expect("an address");
+        let (_, address) = line.trim().rsplit_once(" address=").expect("an address in the log line");
         self.address = address.to_string();
     }
 
-    /// The next line of the log.
+    /// Reads the next line of the log; an empty string once the router has closed it.
     pub fn read_log_line(&mut self) -> String {
         let mut line = String::new();
-        self.log.read_line(&mut line).expect("a line");
+        self.log.read_line(&mut line).expect("a log line in UTF-8");
         line
     }
 
-    /// A client's connection to the router.
+    /// Opens a client connection to the router.
     pub fn connect(&self) -> Client {
         Client::connect(&self.address)
     }
 
-    /// The value of a counter, asked for on a connection of its own.
+    /// Returns the value of a counter, which is requested on a new client connection.
     pub fn counter(&self, name: &str) -> u64 {
         let mut client = self.connect();
         client.send("GET /-/counters HTTP/1.1\r\nConnection: close\r\n\r\n");
         let (_, body) = client.read_response();
         let value = body.lines().find_map(|line| counter_value(line, name));
-        value.expect("a counter of this name").parse().expect("a number")
+        value.expect("a counter of this name").parse().expect("a counter value")
     }
 
-    /// Waits until a counter has at least this value.
+    /// Waits until a counter is at least `minimum`, and requests it on a new client connection each time.
     pub fn wait_for_counter(&self, name: &str, minimum: u64) {
         let started = Instant::now();
         while self.counter(name) < minimum {
-            assert!(started.elapsed() < MAX_WAIT, "{name} never came to {minimum}");
+            assert!(started.elapsed() < MAX_WAIT, "counter {name} did not reach {minimum} in time");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits until a counter has at least this value, as the router logs it on SIGUSR1: no connection is
-    /// needed.
+    /// Waits until a counter is at least `minimum`. Reads it from the counters that the router logs on SIGUSR1, so
+    /// that no client connection is needed.
     pub fn wait_for_logged_counter(&mut self, name: &str, minimum: u64) {
         let started = Instant::now();
         let mut last_value: Option<u64> = None;
         while last_value.is_none_or(|value| value < minimum) {
-            assert!(started.elapsed() < MAX_WAIT, "{name} never came to {minimum}");
+            assert!(started.elapsed() < MAX_WAIT, "counter {name} did not reach {minimum} in time");
             self.signal(Signal::USR1);
             let mut line = String::new();
             while !line.starts_with("invariants_violated ") {
                 line = self.read_log_line();
-                assert!(!line.is_empty(), "the router exited");
+                assert!(!line.is_empty(), "the router exited before the counter reached its minimum");
                 if let Some(value) = counter_value(&line, name) {
                     last_value = value.trim().parse().ok();
                 }
@@ -107,11 +107,11 @@
 
     /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
-        let pid = Pid::from_raw(self.child.id() as i32).expect("a process");
-        kill_process(pid, signal).expect("it runs");
+        let pid = Pid::from_raw(self.child.id() as i32).expect("a process id");
+        kill_process(pid, signal).expect("the process is running");
     }
 
-    /// Stops the process, so that everything until `resume` reaches it in one iteration of its event loop.
+    /// Stops the process with SIGSTOP, so that all events until `resume` reach it in one event-loop iteration.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
         let stat = format!("/proc/{}/stat", self.child.id());
@@ -121,21 +121,22 @@
         }
     }
 
-    /// Lets the process run again.
+    /// Continues the stopped process.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Waits for the exit, which must be a success without violated invariants. Returns the rest of the log.
+    /// Waits for the exit, and returns the rest of the log. Panics if the exit status is not success or an invariant
+    /// was violated.
     pub fn wait_for_exit(mut self) -> String {
-        assert!(self.child.wait().expect("it exits").success());
+        assert!(self.child.wait().expect("the exit status").success());
         let mut log = String::new();
-        self.log.read_to_string(&mut log).expect("a log");
+        self.log.read_to_string(&mut log).expect("a log in UTF-8");
         assert!(log.contains("invariants_violated 0\n"), "{log}");
         log
     }
 
-    /// Asks the process to shut down, and waits for its exit.
+    /// Sends SIGTERM, waits for the exit, and returns the rest of the log.
     pub fn terminate(self) -> String {
         self.signal(Signal::TERM);
         self.wait_for_exit()
@@ -149,7 +150,7 @@
     }
 }
 
-/// The value in a line of counters, if the line is of this counter.
+/// Returns the value in a line of the counters, or `None` if the line belongs to another counter.
 fn counter_value<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     line.strip_prefix(name)?.strip_prefix(' ')
 }
--- a/crates/cli/tests/loopback/serving.rs
+++ b/crates/cli/tests/loopback/serving.rs
@@ -1,4 +1,4 @@
-//! Complete queries, from the first request to the exit of the router.
+//! Tests of complete queries, from the first request to the exit of the router.
 
 use crate::rig::{Client, DataNode, RouterProcess, frame, query, start_with_node};
 use rustix::process::Signal;
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use test_servers::{Discovery, data_node, member};
 
-/// The number of shards, each of which every query asks for.
+/// The number of shards. Each query asks for all of them.
 const SHARDS: usize = 8;
 
 fn start(test_name: &str, discovery: &Discovery) -> RouterProcess {
@@ -21,19 +21,20 @@
     RouterProcess::start(test_name, &config)
 }
 
-/// The header fields of a query.
+/// Returns the header fields of a query.
 fn query_headers(id: &str) -> String {
     format!("X-Qos: look\r\nX-Trace-Id: {id}\r\nX-Expires-In-Ms: 20000\r\n")
 }
 
-/// The body of a query for all shards.
+/// Returns the body of a query for all shards.
 fn query_body() -> String {
     let segments: Vec<String> =
         (0..SHARDS).map(|shard| format!("{{\"segment\":{shard},\"boost\":0.125}}")).collect();
     format!("{{\"segments\":[{}],\"text\":\"q\"}}", segments.join(","))
 }
 
-/// Shuts the router down with an idle client, which it closes without sending anything. Returns the counters.
+/// Shuts the router down while a client is idle, and expects that the router closes its connection without sending
+/// bytes. Returns the counters in the log.
 fn terminate(router: RouterProcess, mut client: Client) -> String {
     router.signal(Signal::TERM);
     assert!(client.read_to_end().is_empty());
@@ -42,7 +43,7 @@
 }
 
 #[test]
-fn list_of_over_a_thousand_nodes_is_served_from() {
+fn queries_are_served_from_an_endpoint_list_of_over_a_thousand_nodes() {
     let node = data_node().to_string();
     let members = (0..1_030).map(|index| member(&format!("node-{index:08}"), &node, "z", 0, "ready", 0));
     let discovery = Discovery::start(8, members.collect());
@@ -72,13 +73,13 @@
     client.send("GET /-/ready HTTP/1.1\r\n\r\n");
     assert_eq!(client.read_response(), ("HTTP/1.1 200 OK".to_string(), "OK\n".to_string()));
 
-    // A configuration that cannot be read any more changes nothing.
+    // The configuration file is removed, so the reload fails and the router continues with its configuration.
     router.signal(Signal::HUP);
     let line = router.read_log_line();
     assert!(line.contains("configuration not reloaded"), "{line}");
 
-    // Eight shard requests make two batches or more. The first head comes in pieces; the second request
-    // follows at once, with its body in chunks.
+    // Eight shard requests need at least two batches. The header of the first request is sent in two pieces. The second
+    // request follows without a delay, and its body has the chunked transfer encoding.
     let body = query_body();
     client.send("POST /api HT");
     let headers = query_headers("t1");
@@ -98,7 +99,7 @@
     );
 }
 
-/// Asserts that a response holds the value of every shard, in order.
+/// Asserts that a response is complete and contains the value of each shard, in the order of the shards.
 fn assert_is_complete((status, body): (String, String)) {
     let json: Json = serde_json::from_str(&body).expect("JSON");
     assert_eq!((status.as_str(), &json["all_in"]), ("HTTP/1.1 200 OK", &true.into()));
@@ -108,7 +109,7 @@
 }
 
 #[test]
-fn pipelined_request_has_only_the_time_that_is_left_since_it_came() {
+fn deadline_of_a_pipelined_request_is_reduced_by_the_time_since_its_arrival() {
     let deadline = Duration::from_secs(4);
     let node = DataNode::new();
     let (router, _discovery) = start_with_node("pipelined-deadline", node.address, deadline);
@@ -116,14 +117,14 @@
     client.send(&(query("pay", "t1", deadline) + &query("pay", "t2", deadline)));
     let mut connection = node.accept();
     assert!(connection.read_frame().1.starts_with("t1.0 "));
-    let waited = Duration::from_secs(1);
-    std::thread::sleep(waited);
+    let response_delay = Duration::from_secs(1);
+    std::thread::sleep(response_delay);
     connection.send(&frame(b'Y', "t1.0 OK 5 -\none"));
     assert_eq!(client.read_response().0, "HTTP/1.1 200 OK");
     let (_, text) = connection.read_frame();
-    let wait_ms = text.split("d=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
-    let wait = Duration::from_millis(wait_ms.expect("a time"));
-    assert!(wait <= deadline - waited, "{wait:?} is stated");
+    let deadline_ms = text.split("d=").nth(1).and_then(|rest| rest.split(' ').next()?.parse::<u64>().ok());
+    let sent_deadline = Duration::from_millis(deadline_ms.expect("a deadline in the frame"));
+    assert!(sent_deadline <= deadline - response_delay, "deadline sent to the node: {sent_deadline:?}");
     connection.send(&frame(b'Y', "t2.0 OK 5 -\ntwo"));
     assert_eq!(client.read_response().0, "HTTP/1.1 200 OK");
 }
--- a/crates/cli/tests/loopback/shutdown.rs
+++ b/crates/cli/tests/loopback/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals and graceful shutdown.
+//! Tests of signals and graceful shutdown.
 
 use crate::rig::{
     BlockingConfigFile, DataNode, LONG_DEADLINE, RouterProcess, ScriptedDiscovery, config, frame, query,
@@ -21,8 +21,8 @@
     let mut readiness_check = router.connect();
     readiness_check.send("GET /-/ready HTTP/1.1\r\n\r\n");
     assert_eq!(readiness_check.read_response().0, "HTTP/1.1 503 Service Unavailable");
-    // The node reads the request and never answers. The deadline is 20 s; the process may be killed after 3.7
-    // s.
+    // The node reads the request and never responds. The deadline is 20 s, and the platform may kill the process 3.7 s
+    // after SIGTERM.
     let started = Instant::now();
     client.send(&request[40..]);
     let mut node_connection = node.accept();
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn request_that_crosses_the_close_of_an_idle_connection_is_neither_sent_on_nor_reset() {
+fn request_sent_after_the_close_of_an_idle_connection_is_not_forwarded_and_meets_no_reset() {
     let node = DataNode::new();
     let (router, _discovery) = start_with_node("idle-close", node.address, LONG_DEADLINE);
     let mut client = router.connect();
     client.send("GET /-/healthy HTTP/1.1\r\n\r\n");
     assert_eq!(client.read_response().0, "HTTP/1.1 200 OK");
     router.signal(Signal::TERM);
-    // The router has closed its side; the client sends a query as if it had not noticed.
+    // The router has closed its writing side. The client sends a query as if it had not detected that.
     assert!(client.read_to_end().is_empty());
     client.send_query("pay", "t1", LONG_DEADLINE);
     assert!(client.read_to_end().is_empty());
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn signals_may_come_in_any_order_and_more_than_once() {
+fn signals_are_handled_in_any_order_and_repeatedly() {
     let node = DataNode::new();
     let (router, _discovery) = start_with_node("signals", node.address, LONG_DEADLINE);
     let mut client = router.connect();
@@ -70,7 +70,7 @@
     }
     node_connection.send(&frame(b'Y', "t1.0 OK 5 -\none"));
     router.resume();
-    // A response that came in the same iteration as the signals is used as ever.
+    // A response that arrives in the same event-loop iteration as the signals is processed.
     assert_eq!(client.read_response().0, "HTTP/1.1 200 OK");
     assert!(client.read_to_end().is_empty());
     drop(client);
@@ -88,20 +88,20 @@
 }
 
 #[test]
-fn signals_during_the_reading_of_the_configuration_are_handled_afterwards() {
+fn signals_received_while_the_configuration_is_read_are_handled_afterwards() {
     let (first, second) = (ScriptedDiscovery::new(), ScriptedDiscovery::new());
     let config_with = |discovery: &ScriptedDiscovery| config(discovery.address(), LONG_DEADLINE).to_string();
     let config_file = BlockingConfigFile::new("slow");
     let mut router = RouterProcess::spawn(config_file.path());
     let mut writer = config_file.wait_for_reader();
     router.signal(Signal::HUP);
-    writer.write_all(config_with(&first).as_bytes()).expect("the router reads");
+    writer.write_all(config_with(&first).as_bytes()).expect("the router reads the configuration");
     drop(writer);
     router.wait_until_listening();
-    // The router handles the first signal and reads the file again.
+    // The router handles SIGHUP and reads the configuration again.
     let mut writer = config_file.wait_for_reader();
     router.signal(Signal::TERM);
-    writer.write_all(config_with(&second).as_bytes()).expect("the router reads");
+    writer.write_all(config_with(&second).as_bytes()).expect("the router reads the configuration");
     drop(writer);
     let (request, watch) = second.accept_request();
     assert!(request.contains("watch=1&after=0"), "{request}");
