--- a/crates/cli/tests/loopback/serving.rs
+++ b/crates/cli/tests/loopback/serving.rs
@@ -9,6 +9,7 @@
 /// The number of shards. Each query asks for all of them.
 const SHARDS: usize = 8;
 
+/// Starts a router with one service class, which makes one attempt per shard request, and waits until it listens.
 fn start(test_name: &str, discovery: &Discovery) -> RouterProcess {
     let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.at, "seed": "2a",
         "limits": {"sockets": 64}, "known": {"revision": 7, "complete": true, "members": []},
@@ -101,9 +102,9 @@
 
 /// Asserts that a response is complete and contains the value of each shard, in the order of the shards.
 fn assert_is_complete((status, body): (String, String)) {
-    let json: Json = serde_json::from_str(&body).expect("JSON");
+    let json: Json = serde_json::from_str(&body).expect("a body in JSON");
     assert_eq!((status.as_str(), &json["all_in"]), ("HTTP/1.1 200 OK", &true.into()));
-    let matches = json["matches"].as_array().expect("a list");
+    let matches = json["matches"].as_array().expect("an array of matches");
     let values = matches.iter().map(|entry| entry["payload"].to_string());
     assert!(values.eq((0..SHARDS).map(|shard| format!("\"q/{shard}\""))), "{body}");
 }
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -171,7 +171,7 @@
         assert_eq!(
             (counters.endpoint_lists_full, counters.discovery_failures),
             (1 + accepted_lists, 1 - accepted_lists),
-            "{rest} {closed}"
+            "{rest}, orderly close: {closed}"
         );
     }
 }
@@ -232,7 +232,7 @@
                 assert_eq!(
                     ready_endpoints_after(watch, text.as_bytes(), piece),
                     1_100,
-                    "{watch} {piece} {}",
+                    "watch: {watch}, pieces of {piece}: {}",
                     &text[..60]
                 );
             }
@@ -408,7 +408,7 @@
             let mut rig = Rig::with_config(&config);
             rig.decide();
             for _ in 0..failures {
-                let request = rig.peers.outgoing.last().expect("a request").id;
+                let request = rig.peers.outgoing.last().expect("an open request to discovery").id;
                 rig.end_connection(request, 0);
                 time_to_next_request(&mut rig);
             }
@@ -420,7 +420,7 @@
 #[test]
 fn discovery_that_hangs_is_requested_again_in_time_to_learn_of_a_drain() {
     for mut rig in routers_after_failed_requests() {
-        let request = rig.peers.outgoing.last().expect("a request").id;
+        let request = rig.peers.outgoing.last().expect("an open request to discovery").id;
         rig.step(Event::Established(request));
         // The request was accepted just before discovery recovered, and is never answered.
         let gap = time_to_next_request(&mut rig);
@@ -431,7 +431,7 @@
 #[test]
 fn discovery_that_fails_is_requested_again_in_time_to_learn_of_a_drain() {
     for mut rig in routers_after_failed_requests() {
-        let request = rig.peers.outgoing.last().expect("a request").id;
+        let request = rig.peers.outgoing.last().expect("an open request to discovery").id;
         rig.end_connection(request, 0);
         let gap = time_to_next_request(&mut rig);
         assert!(gap <= MAX_REQUEST_GAP, "requested again after {gap} us");
--- a/crates/query-router/src/router/tests/dispatch.rs
+++ b/crates/query-router/src/router/tests/dispatch.rs
@@ -13,7 +13,7 @@
         let written = rig.written(connection).len() as u64;
         rig.end_connection(connection, written - unwritten);
         rig.decide();
-        let other = rig.peers.outgoing.last().expect("a connection").port;
+        let other = rig.peers.outgoing.last().expect("an open connection").port;
         assert_eq!(
             other != port && other != DISCOVERY_PORT,
             class == "look" || unwritten > 0,
@@ -44,7 +44,7 @@
 fn nothing_is_written_on_a_connection_established_after_the_deadline_and_before_the_timer() {
     let mut rig = Rig::new();
     rig.send_query("pay", "t1");
-    let connection = rig.peers.outgoing.last().expect("a connection").id;
+    let connection = rig.peers.outgoing.last().expect("an open connection").id;
     // The event loop reads sockets before it reports expired timers, so the timer is reported later in this iteration.
     rig.now += 1_500_000;
     rig.step(Event::Established(connection));
@@ -56,7 +56,7 @@
     let config = CONFIG.replace("\"cancelling\":true", "\"cancelling\":false");
     let mut rig = Rig::with_config(&config.replace("\"connectTimeoutNs\":250", "\"connectTimeoutNs\":9000"));
     let client = rig.send_query("look", "t1");
-    let connection = rig.peers.outgoing.last().expect("a connection").id;
+    let connection = rig.peers.outgoing.last().expect("an open connection").id;
     rig.decide_and_advance(1_600_000);
     assert!(rig.written(client).starts_with("HTTP/1.1 503"), "{}", rig.written(client));
     rig.step(Event::Established(connection));
@@ -146,7 +146,7 @@
     let ids: Vec<std::rc::Rc<str>> = vec!["t1.0".into()];
     let connections: Vec<ConnectionId> = (0..4)
         .map(|_| {
-            let connection = rig.select_connection(0, &ids).expect("a connection");
+            let connection = rig.select_connection(0, &ids).expect("a connection to node 0");
             rig.run_effects();
             rig.step(Event::Established(connection));
             rig.router.state.context.connections.node_mut(connection).queue_batch(Vec::new());
@@ -200,13 +200,13 @@
     let mut rig = Rig::with_config(&config);
     rig.decide_and_advance(5_000);
     let body = r#"{"segments":[{"segment":0,"boost":1}],"text":"q"}"#;
-    let mut query = |id: &str| {
+    let mut send_query = |id: &str| {
         let client = rig.connect_client();
         rig.receive(client, query_request("pay", id, body).as_bytes());
         rig.decide_and_advance(5_000);
-        (client, rig.peers.outgoing.last().expect("a connection").id)
+        (client, rig.peers.outgoing.last().expect("an open connection").id)
     };
-    let ((client, first), (other, second)) = (query("t1"), query("t2"));
+    let ((client, first), (other, second)) = (send_query("t1"), send_query("t2"));
     assert_ne!(first, second);
     rig.step(Event::Established(first));
     rig.respond(first, "t1.0 OK 5 -", "one");
@@ -222,6 +222,6 @@
     assert_eq!((rig.written(second), rig.router.counters().attempts_connect_failed), (String::new(), 0));
     rig.respond(first, "t2.0 OK 5 -", "two");
     rig.decide_and_advance(5_000);
-    let answers = [rig.written(client), rig.written(other)];
-    assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 200 OK")), "{answers:?}");
+    let responses = [rig.written(client), rig.written(other)];
+    assert!(responses.iter().all(|response| response.starts_with("HTTP/1.1 200 OK")), "{responses:?}");
 }
--- a/crates/query-router/src/router/tests/endpoints.rs
+++ b/crates/query-router/src/router/tests/endpoints.rs
@@ -7,7 +7,7 @@
 fn attempts_queued_at_a_draining_node_are_cancelled_and_those_at_a_restarted_node_are_lost() {
     let mut rig = Rig::new();
     rig.send_query("pay", "t1");
-    let Outgoing { id: connection, port } = *rig.peers.outgoing.last().expect("a connection");
+    let Outgoing { id: connection, port } = *rig.peers.outgoing.last().expect("an open connection");
     let list = |phase: &str, started_at_ms: i64| {
         let id = if port == 71 { "a" } else { "b" };
         serde_json::json!({"revision": 50, "members": [{"id": id, "host_port": format!("127.0.0.1:{port}"),
--- a/crates/query-router/src/router/tests/event_sequences.rs
+++ b/crates/query-router/src/router/tests/event_sequences.rs
@@ -97,22 +97,23 @@
 fn batch_ids(mut content: &[u8]) -> Vec<String> {
     let mut ids = Vec::new();
     while !content.is_empty() {
-        let line_length = content.iter().position(|&byte| byte == b'\n').expect("a line");
-        let line = std::str::from_utf8(&content[..line_length]).expect("text");
+        let line_length = content.iter().position(|&byte| byte == b'\n').expect("a complete line");
+        let line = std::str::from_utf8(&content[..line_length]).expect("a line in UTF-8");
         let mut words = line.split(' ');
-        ids.push(words.next().expect("an id").to_string());
-        let text_length: usize = words.nth(2).expect("a length").parse().expect("a length");
+        ids.push(words.next().expect("the id of a shard request").to_string());
+        let text_length: usize = words.nth(2).expect("the length of the text").parse().expect("a number");
         content = &content[line_length + 1 + text_length..];
     }
     ids
 }
 
+/// Asserts that the query of a shard request has not ended.
 fn assert_in_progress(router: &Router, request_id: &str) {
     let queries = &router.state.queries;
     let shard_request = queries.shard_requests.iter().find(|(_, request)| *request.id == *request_id);
     let in_progress =
         shard_request.is_some_and(|(_, request)| !queries.query(request.query).expect("a query").has_ended());
-    assert!(in_progress, "{request_id} is sent though its query has ended");
+    assert!(in_progress, "shard request {request_id} was sent after its query had ended");
 }
 
 impl RandomPeers {
@@ -363,7 +364,7 @@
 }
 
 #[test]
-fn any_sequence_of_events_keeps_the_invariants_and_releases_everything() {
+fn random_sequences_of_events_keep_the_invariants_and_release_all_state() {
     for seed in 0..60 {
         let mut rig = Rig::with_random_peers(seed);
         for _ in 0..600 {
--- a/crates/query-router/src/router/tests/node_connections.rs
+++ b/crates/query-router/src/router/tests/node_connections.rs
@@ -12,7 +12,7 @@
     let with_id =
         [oversized, unknown_kind, response("t1.1 ? 5 -"), response("t1.1  5 -"), response("t1.1 OK 5 -\n\0")];
     let without_id = [vec![0, 0, 0, 0, 1], b"xxxxxxxx".to_vec(), vec![0, 0, 0, 4, b'Y', b't', b'.', b'1']];
-    for (bytes, malformed) in
+    for (bytes, malformed_index) in
         with_id.into_iter().map(|b| (b, 1)).chain(without_id.into_iter().map(|b| (b, 0)))
     {
         for split in 1..bytes.len() {
@@ -32,7 +32,7 @@
             assert_eq!((&rig.peers.closed[..], outcomes), (&[connection][..], (1, 1, 0)), "{bytes:?}");
             assert!(
                 split < bytes.len() - 1
-                    || rig.router.state.queries.shard_requests[malformed].attempts[0].outcome.is_some()
+                    || rig.router.state.queries.shard_requests[malformed_index].attempts[0].outcome.is_some()
             );
             rig.decide();
             assert!(
