--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -2,11 +2,11 @@
 
 use crate::clock::{Micros, now, wall_clock_ms};
 use crate::config::router_config;
-use crate::crowd::Crowd;
 use crate::discovery::{Discovery, Mood};
+use crate::idle_connections::Crowd;
 use crate::node::Behaviour;
-use crate::node_process::{RecordingProcess, Records};
 use crate::proxy::Proxy;
+use crate::recording_process::{RecordingProcess, Records};
 use crate::router_process::RouterProcess;
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value as Json, json};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -3,21 +3,21 @@
 //!
 //! `soak run --seeds 1,2,3 --seconds 20` prints a line for each violation, with ids, and fails if there is one.
 
+mod checker;
 mod client;
 mod clock;
 mod cluster;
 mod config;
-mod crowd;
 mod discovery;
-mod judge;
+mod idle_connections;
 mod node;
-mod node_process;
 mod proxy;
 mod record;
+mod recording_process;
 mod router_process;
 mod run;
+mod schedule;
 mod stall;
-mod troubles;
 
 use argh::FromArgs;
 use std::process::ExitCode;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,12 +1,12 @@
 //! Runs the soak test for one seed after another.
 
+use crate::checker::judge;
 use crate::clock::{MILLISECOND, Micros, SECOND, now, sleep_ms};
 use crate::cluster::{Cluster, Size};
-use crate::judge::judge;
 use crate::record::Record;
 use crate::router_process::RouterProcess;
+use crate::schedule::Schedule;
 use crate::stall;
-use crate::troubles::Schedule;
 use argh::FromArgs;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
