--- a/crates/soak/src/checker/answers.rs
+++ b/crates/soak/src/checker/answers.rs
@@ -1,16 +1,16 @@
-//! Rules on answers: each request gets one in time, and it says what nodes answered.
+//! Rules on responses: each request gets one in time, and its content comes from the nodes.
 
-use super::{Judge, MEASURING_SLACK};
+use super::{Checker, MEASUREMENT_SLACK};
 use crate::clock::{MILLISECOND, Micros};
 use crate::record::Record;
 use serde_json::Value as Json;
 use std::collections::BTreeSet;
 
-/// How much longer an answer may take before its request counts as lost.
-const LATE_ANSWER: Micros = 500 * MILLISECOND;
+/// How long after the deadline of its request a response may arrive, besides the measurement error.
+const MAX_RESPONSE_DELAY: Micros = 500 * MILLISECOND;
 
-impl Judge<'_> {
-    /// Each request gets its final answer in time.
+impl Checker<'_> {
+    /// Checks that each request gets its final response in time.
     pub(super) fn check_lost(&mut self, records: &[Record]) {
         for record in records {
             let Record::Lost { at, id, is_new_connection, is_timeout } = record else { continue };
@@ -22,22 +22,22 @@
                     "{id} ({}) of router {}: {} after {} ms on a {} connection",
                     request.class,
                     request.router,
-                    if *is_timeout { "no answer" } else { "closed" },
+                    if *is_timeout { "no response" } else { "closed" },
                     (at - request.at) / MILLISECOND,
-                    if *is_new_connection { "new" } else { "used" }
+                    if *is_new_connection { "new" } else { "reused" }
                 );
                 self.add("lost", *at, details);
             }
         }
-        self.check_asked_again(records);
+        self.check_resent(records);
         let mut late = Vec::new();
         for (id, request) in &self.requests {
-            let Some((at, status, _)) = request.answer else { continue };
-            let limit = LATE_ANSWER + MEASURING_SLACK;
-            // Answers come in the order of the requests.
-            let earlier = request.behind.and_then(|earlier| self.requests.get(earlier)?.answer);
+            let Some((at, status, _)) = request.response else { continue };
+            let limit = MAX_RESPONSE_DELAY + MEASUREMENT_SLACK;
+            // Responses to pipelined requests arrive in the order of the requests.
+            let earlier = request.behind.and_then(|earlier| self.requests.get(earlier)?.response);
             let due_at = request.at + request.expires_ms * MILLISECOND;
-            let due_at = due_at.max(earlier.map_or(0, |(answered_at, _, _)| answered_at));
+            let due_at = due_at.max(earlier.map_or(0, |(responded_at, _, _)| responded_at));
             if at > due_at + limit {
                 late.push((at, format!("{id}: {status} after {} ms", (at - request.at) / MILLISECOND)));
             }
@@ -47,9 +47,9 @@
         }
     }
 
-    /// A request that its client has to send again must not have been read before its connection was closed: an attempt
-    /// by then shows that it was.
-    fn check_asked_again(&mut self, records: &[Record]) {
+    /// Checks that a request that its client had to send again had not been read before its connection was closed. An
+    /// attempt before that time shows that the router had read it.
+    fn check_resent(&mut self, records: &[Record]) {
         for record in records {
             let Record::ClosedUnanswered { at, router, id } = record else { continue };
             let attempts = self.attempts.iter().filter(|attempt| attempt.query == id);
@@ -61,49 +61,50 @@
                 self.add(
                     "lost",
                     *at,
-                    format!("{id} of router {router}: closed after it was read, asked again"),
+                    format!("{id} of router {router}: closed after it was read; client sent it again"),
                 );
             }
         }
     }
 
-    /// Whether a request on a new connection may have been closed unread: where a crowd fills the descriptors.
+    /// Whether the router may have closed the new connection of a request without reading it: only if idle connections
+    /// use up the descriptors and no attempt was sent.
     fn may_be_unread(&self, id: &str) -> bool {
-        self.cluster.has_crowd() && !self.attempts.iter().any(|attempt| attempt.query == id)
+        self.cluster.has_idle_connections() && !self.attempts.iter().any(|attempt| attempt.query == id)
     }
 
-    /// Answers say what nodes answered.
+    /// Checks that successful responses contain values of the nodes only, and are complete if they are marked so.
     pub(super) fn check_answers(&mut self) {
-        let mut false_answers = Vec::new();
+        let mut found = Vec::new();
         for (id, request) in &self.requests {
-            let Some((at, 200, body)) = request.answer else { continue };
+            let Some((at, 200, body)) = request.response else { continue };
             if let Err(reason) = check_body(id, request.shards, body) {
-                false_answers.push((at, format!("{id}: {reason}: {body}")));
+                found.push((at, format!("{id}: {reason}: {body}")));
             }
         }
-        for (at, details) in false_answers {
+        for (at, details) in found {
             self.add("false answer", at, details);
         }
     }
 }
 
-/// Says what is wrong with the body of an answer.
+/// Checks the body of a response. The error says what is wrong with it.
 fn check_body(id: &str, shards: &[usize], body: &str) -> Result<(), &'static str> {
-    let body: Json = serde_json::from_str(body).map_err(|_| "not JSON")?;
-    let matches = body["matches"].as_array().ok_or("no matches")?;
+    let body: Json = serde_json::from_str(body).map_err(|_| "the body is not valid JSON")?;
+    let matches = body["matches"].as_array().ok_or("the body has no array `matches`")?;
     let mut seen = BTreeSet::new();
     for value in matches {
-        let shard = value["segment"].as_u64().ok_or("no segment")? as usize;
+        let shard = value["segment"].as_u64().ok_or("a match has no number `segment`")? as usize;
         if !shards.contains(&shard) || !seen.insert(shard) {
-            return Err("a shard that was not asked for, or twice");
+            return Err("a shard was not requested or is present twice");
         }
         if value["payload"] != format!("{shard}/{id}") {
-            return Err("a value that no node made");
+            return Err("a value differs from that of the node");
         }
     }
     let is_complete = seen.len() == shards.len();
     if seen.is_empty() || body["all_in"] == Json::Bool(true) && !is_complete {
-        return Err("marked complete and is not");
+        return Err("no match is present, or it is marked complete while shards are missing");
     }
     Ok(())
 }
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -1,50 +1,54 @@
-//! The invariants. Each violation names the rule, the ids and the times.
+//! The invariants of a run. Each violation states the rule, the ids and the times.
 
 mod answers;
 mod kills;
 mod nodes;
 
 use crate::clock::{MILLISECOND, Micros, SECOND};
-use crate::cluster::{Cluster, Hold};
-use crate::config::{BUDGET_SHARE, BUDGET_WINDOW_MS, CLASSES, FREE_ATTEMPTS, MAX_DESCRIPTORS, MAX_MEMORY_MB};
+use crate::cluster::{Cluster, NodeDelay};
+use crate::config::{
+    CLASSES, FREE_RETRIES, MAX_DESCRIPTORS, MAX_MEMORY_MB, RETRY_BUDGET_SHARE, RETRY_BUDGET_WINDOW_MS,
+};
 use crate::record::Record;
-use crate::router_process::{Incident, Usage};
+use crate::router_process::{RouterEvent, Usage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// What the operators allow beside each time limit, and what the machine of the test may add.
+/// Tolerance that the operators grant on each time limit.
 const PROTOCOL_SLACK: Micros = 50 * MILLISECOND;
-const MEASURING_SLACK: Micros = 150 * MILLISECOND;
-/// What measuring adds to the times of an attempt: its bytes pass a proxy before the node notes them.
-const ATTEMPT_MEASURING: Micros = 50 * MILLISECOND;
-/// A stall from which on other processes are likely to be stalled as well, at most so long before it is noticed.
+/// Measurement error that the machine of the test may add to each time.
+const MEASUREMENT_SLACK: Micros = 150 * MILLISECOND;
+/// Measurement error of the time of an attempt: its bytes pass a proxy before the node records them.
+const ATTEMPT_MEASUREMENT_SLACK: Micros = 50 * MILLISECOND;
+/// Length from which a stall suggests that other processes were stalled as well.
 const LONG_STALL: Micros = 20 * MILLISECOND;
-const STALL_NEARBY: Micros = SECOND;
-/// How much more time than its client has left an attempt may state.
+/// How long before the start of a long stall other processes may have been stalled.
+const STALL_RANGE: Micros = SECOND;
+/// How much the remaining time that an attempt states may exceed the time that its client has left.
 const DEADLINE_SLACK: Micros = 150 * MILLISECOND;
-/// How long a router may be held up between reading its clock and writing.
-const HOLD_UP: Micros = 150 * MILLISECOND;
-/// How long after its client left a request may still be sent to nodes.
-const AFTER_LEAVING: Micros = 100 * MILLISECOND;
-/// How long a client that stopped in the middle of a request waits for its end.
-const BAD_CLIENT_LIMIT: Micros = 3 * SECOND;
-/// How long after a node or the way to it was held up what was sent before still reaches it.
-const AFTER_HOLD: Micros = 1200 * MILLISECOND;
+/// How long a router may be delayed between reading its clock and writing to a connection.
+const MAX_ROUTER_DELAY: Micros = 150 * MILLISECOND;
+/// How long after a request ended, by its response or by its client's close, attempts may still be sent for it.
+const MAX_SEND_AFTER_END: Micros = 100 * MILLISECOND;
+/// Time within which a router has to respond to a truncated request or close its connection.
+const TRUNCATED_REQUEST_LIMIT: Micros = 3 * SECOND;
+/// How long after the end of a delay requests that were sent before may still reach the node.
+const MAX_DELIVERY_DELAY: Micros = 1200 * MILLISECOND;
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Debug)]
 pub struct Violation {
-    /// The rule.
+    /// Name of the rule, as `--known` takes it.
     pub rule: &'static str,
-    /// When it was broken.
+    /// Time of the violation; 0 if the rule applies to the whole run.
     pub at: Micros,
-    /// Ids and figures.
+    /// Ids and measured values.
     pub details: String,
 }
 
 impl Violation {
-    /// Whether it is about the query of this id, or of this shard request's id.
-    pub fn names(&self, id: &str) -> bool {
+    /// Whether the details contain the id of this query, or the id of the query of this shard request.
+    pub fn mentions(&self, id: &str) -> bool {
         let query = id.rsplit_once('.').map_or(id, |(query, _)| query);
         let is_id_of_query = query.contains('-');
         let mut words = self.details.split([' ', ':', '.']);
@@ -58,18 +62,22 @@
     }
 }
 
-/// A request as its client saw it.
+/// A request as its client reported it.
 struct Request<'a> {
     at: Micros,
     router: usize,
     class: &'a str,
     expires_ms: i64,
     shards: &'a [usize],
+    /// Id of the request before it on the same connection if it was pipelined.
     behind: Option<&'a str>,
-    answer: Option<(Micros, u16, &'a str)>,
-    left_at: Option<Micros>,
+    /// Time, status and body of the response; `None` without one.
+    response: Option<(Micros, u16, &'a str)>,
+    /// Time at which the client closed its connection before the response, if it did.
+    disconnected_at: Option<Micros>,
 }
 
+/// An attempt of a shard request as its node reported it.
 struct Attempt<'a> {
     at: Micros,
     node: usize,
@@ -77,42 +85,43 @@
     id: &'a str,
     /// The id of the query.
     query: &'a str,
+    /// Remaining time that the attempt states.
     wait_ms: i64,
     is_executed: bool,
 }
 
-/// What is judged.
-struct Judge<'a> {
+/// The records of a run, arranged for the checks, and the violations found so far.
+struct Checker<'a> {
     cluster: &'a Cluster,
     requests: BTreeMap<&'a str, Request<'a>>,
     attempts: Vec<Attempt<'a>>,
-    /// When a process of the run did not get to run, and for how long.
+    /// Long stalls of the processes of the run.
     stalls: Vec<Stall>,
     violations: Vec<Violation>,
     peaks: Peaks,
 }
 
-/// A time in which a process of the run did not get to run.
+/// A period in which a process of the run was not scheduled.
 #[derive(Clone, Copy, Debug)]
 struct Stall {
     from: Micros,
     until: Micros,
 }
 
-/// The largest values of what is bounded, whether or not a bound was broken.
+/// Highest measured values, whether or not they exceed their bounds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Peaks {
-    /// How much more time than its client had left an attempt stated.
+    /// How much the remaining time that an attempt stated exceeded the time that its client had left.
     pub deadline_excess: Micros,
     /// How long after the end of its request an attempt reached its node.
     pub after_end: Micros,
-    /// How long a process of the run did not get to run.
+    /// Length of the longest stall.
     pub stall: Micros,
-    /// Attempts near such stalls, whose times were judged by the wider bound.
+    /// Number of attempts near stalls, to which the wider bound applied.
     pub near_stalls: usize,
 }
 
-/// How much was judged.
+/// Number of requests and attempts that were checked, by result.
 #[derive(Debug, Default)]
 pub struct Totals {
     pub requests: usize,
@@ -120,42 +129,42 @@
     pub rejected: usize,
     pub failed: usize,
     pub attempts: usize,
-    pub further_attempts: usize,
+    pub repeated_attempts: usize,
     pub peaks: Peaks,
 }
 
-/// Judges a run that has ended.
-pub fn judge(cluster: &Cluster, records: &[Record]) -> (Totals, Vec<Violation>) {
-    let mut judge = Judge::new(cluster, records);
-    judge.check_lost(records);
-    judge.check_answers();
-    judge.check_effects();
-    judge.check_attempts();
-    judge.check_drains();
-    judge.check_cold_nodes();
-    judge.check_budget();
-    judge.check_clients(records);
-    judge.check_routers();
-    judge.violations.sort_by_key(|violation| violation.at);
-    (judge.totals(), judge.violations)
+/// Checks all rules on a run that has ended. Violations are sorted by time.
+pub fn check_run(cluster: &Cluster, records: &[Record]) -> (Totals, Vec<Violation>) {
+    let mut checker = Checker::new(cluster, records);
+    checker.check_lost(records);
+    checker.check_answers();
+    checker.check_executions();
+    checker.check_attempts();
+    checker.check_drains();
+    checker.check_cold_nodes();
+    checker.check_budget();
+    checker.check_clients(records);
+    checker.check_routers();
+    checker.violations.sort_by_key(|violation| violation.at);
+    (checker.totals(), checker.violations)
 }
 
-impl<'a> Judge<'a> {
-    fn new(cluster: &'a Cluster, records: &'a [Record]) -> Judge<'a> {
+impl<'a> Checker<'a> {
+    fn new(cluster: &'a Cluster, records: &'a [Record]) -> Checker<'a> {
         let mut requests = BTreeMap::new();
         let mut attempts = Vec::new();
         let mut stalls = Vec::new();
         for record in records {
             match record {
                 Record::Stalled { node, from, until } => {
-                    // A node that the run itself stopped shows nothing of the machine.
-                    let is_stopped = |hold: &&Hold| {
-                        Some(hold.node) == *node
-                            && hold.from < *until
-                            && hold.until.is_none_or(|at| at > *from)
+                    // A stall of a node that the test stopped on purpose does not show that the machine was busy.
+                    let is_stopped = |delay: &&NodeDelay| {
+                        Some(delay.node) == *node
+                            && delay.from < *until
+                            && delay.until.is_none_or(|at| at > *from)
                     };
                     let is_long = until - from > LONG_STALL;
-                    if is_long && !cluster.holds.iter().any(|hold| is_stopped(&hold)) {
+                    if is_long && !cluster.node_delays.iter().any(|delay| is_stopped(&delay)) {
                         stalls.push(Stall { from: *from, until: *until });
                     }
                 }
@@ -167,8 +176,8 @@
                         expires_ms: *expires_ms,
                         shards,
                         behind: behind.as_deref(),
-                        answer: None,
-                        left_at: None,
+                        response: None,
+                        disconnected_at: None,
                     };
                     requests.insert(id.as_str(), request);
                 }
@@ -184,110 +193,119 @@
             match record {
                 Record::Answered { at, id, status, body } => {
                     if let Some(request) = requests.get_mut(id.as_str()) {
-                        request.answer = Some((*at, *status, body));
+                        request.response = Some((*at, *status, body));
                     }
                 }
                 Record::Left { at, id } => {
                     if let Some(request) = requests.get_mut(id.as_str()) {
-                        request.left_at = Some(*at);
+                        request.disconnected_at = Some(*at);
                     }
                 }
                 _ => {}
             }
         }
         attempts.sort_by_key(|attempt| attempt.at);
-        Judge { cluster, requests, attempts, stalls, violations: Vec::new(), peaks: Peaks::default() }
+        Checker { cluster, requests, attempts, stalls, violations: Vec::new(), peaks: Peaks::default() }
     }
 
     fn add(&mut self, rule: &'static str, at: Micros, details: String) {
         self.violations.push(Violation { rule, at, details });
     }
 
-    /// For how long a router may have been held up in this time, beyond what measuring needs.
-    fn hold_up(&self, router: usize, from: Micros, until: Micros) -> Micros {
-        let mut holds = self.cluster.router_holds.iter().filter(|hold| hold.router == router);
+    /// Returns how long a router may have been delayed in this period, in addition to the measurement error.
+    fn router_delay(&self, router: usize, from: Micros, until: Micros) -> Micros {
+        let mut delays = self.cluster.router_delays.iter().filter(|delay| delay.router == router);
         let overlaps =
-            holds.any(|hold| hold.from < until && hold.until.is_none_or(|ended_at| ended_at > from));
-        if overlaps { HOLD_UP } else { 0 }
+            delays.any(|delay| delay.from < until && delay.until.is_none_or(|ended_at| ended_at > from));
+        if overlaps { MAX_ROUTER_DELAY } else { 0 }
     }
 
-    /// Whether a process of the run was stalled at about this time, so that records tell nothing of when the router wrote.
+    /// Whether a process of the run was stalled near this time, so that records do not show when the router wrote.
     fn is_near_stall(&self, at: Micros) -> bool {
-        self.stalls.iter().any(|stall| (stall.from - STALL_NEARBY..stall.until + AFTER_HOLD).contains(&at))
+        self.stalls
+            .iter()
+            .any(|stall| (stall.from - STALL_RANGE..stall.until + MAX_DELIVERY_DELAY).contains(&at))
     }
 
-    /// What may not be repeated is executed once, and not at all where the answer says so.
-    fn check_effects(&mut self) {
+    /// Checks that shard requests of non-idempotent classes are executed at most once, and not at all if the response
+    /// says that the request was rejected.
+    fn check_executions(&mut self) {
         let mut executed: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
         for attempt in self.attempts.iter().filter(|attempt| attempt.is_executed) {
             executed.entry(attempt.id).or_default().push(attempt);
         }
-        let mut broken = Vec::new();
+        let mut found = Vec::new();
         for (id, attempts) in executed {
             let Some(request) = self.requests.get(attempts[0].query) else { continue };
-            let may_repeat = CLASSES.iter().any(|class| class.name == request.class && class.is_idempotent);
-            if may_repeat {
+            let is_idempotent_class =
+                CLASSES.iter().any(|class| class.name == request.class && class.is_idempotent);
+            if is_idempotent_class {
                 continue;
             }
             let nodes: Vec<usize> = attempts.iter().map(|attempt| attempt.node).collect();
             if attempts.len() > 1 {
-                broken.push(("executed twice", attempts[1].at, format!("{id} at nodes {nodes:?}")));
+                found.push(("executed twice", attempts[1].at, format!("{id} at nodes {nodes:?}")));
             }
-            if let Some((at, 429 | 503, _)) = request.answer {
-                broken.push(("rejected and executed", at, format!("{id} at nodes {nodes:?}")));
+            if let Some((at, 429 | 503, _)) = request.response {
+                found.push(("rejected and executed", at, format!("{id} at nodes {nodes:?}")));
             }
         }
-        for (rule, at, details) in broken {
+        for (rule, at, details) in found {
             self.add(rule, at, details);
         }
     }
 
-    /// Whether an attempt may have been sent much earlier than its node got it.
-    fn may_be_held(&self, attempt: &Attempt) -> bool {
-        let mut holds = self.cluster.holds.iter().filter(|hold| hold.node == attempt.node);
-        holds.any(|hold| {
-            let until = hold.until.map_or(Micros::MAX, |until| until + AFTER_HOLD);
-            (hold.from..until).contains(&attempt.at)
+    /// Whether an attempt may have been sent much earlier than its node received it.
+    fn may_be_delayed(&self, attempt: &Attempt) -> bool {
+        let mut delays = self.cluster.node_delays.iter().filter(|delay| delay.node == attempt.node);
+        delays.any(|delay| {
+            let until = delay.until.map_or(Micros::MAX, |until| until + MAX_DELIVERY_DELAY);
+            (delay.from..until).contains(&attempt.at)
         })
     }
 
-    /// Attempts come while their client waits, and state no more time than it has left.
+    /// Checks that attempts arrive while their client waits, and state no more time than the client has left.
     fn check_attempts(&mut self) {
-        let mut broken = Vec::new();
+        let mut found = Vec::new();
         let mut peaks = Peaks::default();
-        for attempt in self.attempts.iter().filter(|attempt| !self.may_be_held(attempt)) {
+        for attempt in self.attempts.iter().filter(|attempt| !self.may_be_delayed(attempt)) {
             let Some(request) = self.requests.get(attempt.query) else { continue };
             let describe = |more: String| format!("{} at node {}: {more}", attempt.id, attempt.node);
-            let left = request.at + request.expires_ms * MILLISECOND - attempt.at;
-            let excess = attempt.wait_ms * MILLISECOND - left;
+            let remaining = request.at + request.expires_ms * MILLISECOND - attempt.at;
+            let excess = attempt.wait_ms * MILLISECOND - remaining;
             peaks.deadline_excess = peaks.deadline_excess.max(excess);
-            // Near a stall the bound is wider by what the machine may add, and never absent.
-            let measuring = if self.is_near_stall(attempt.at) { MEASURING_SLACK } else { ATTEMPT_MEASURING };
-            if excess > DEADLINE_SLACK + measuring {
-                let more = format!("states {} ms, {} ms are left", attempt.wait_ms, left / MILLISECOND);
-                broken.push(("deadline too long", attempt.at, describe(more)));
+            // Near a stall the bound is wider by the delay that the machine may add; it applies at all times.
+            let slack =
+                if self.is_near_stall(attempt.at) { MEASUREMENT_SLACK } else { ATTEMPT_MEASUREMENT_SLACK };
+            if excess > DEADLINE_SLACK + slack {
+                let more = format!(
+                    "states a remaining time of {} ms, {} ms are left",
+                    attempt.wait_ms,
+                    remaining / MILLISECOND
+                );
+                found.push(("deadline too long", attempt.at, describe(more)));
             }
-            let ended_at = request.left_at.or(request.answer.map(|(at, _, _)| at));
-            let ended_before = ended_at.map_or(0, |ended_at| attempt.at - ended_at);
-            peaks.after_end = peaks.after_end.max(ended_before);
-            let hold_up = ended_at.map_or(0, |at| self.hold_up(request.router, at, attempt.at));
-            if ended_before > AFTER_LEAVING + hold_up + measuring {
-                let more = format!("{} ms after its end", ended_before / MILLISECOND);
-                broken.push(("sent after the end", attempt.at, describe(more)));
+            let ended_at = request.disconnected_at.or(request.response.map(|(at, _, _)| at));
+            let since_end = ended_at.map_or(0, |ended_at| attempt.at - ended_at);
+            peaks.after_end = peaks.after_end.max(since_end);
+            let router_delay = ended_at.map_or(0, |at| self.router_delay(request.router, at, attempt.at));
+            if since_end > MAX_SEND_AFTER_END + router_delay + slack {
+                let more = format!("{} ms after its request ended", since_end / MILLISECOND);
+                found.push(("sent after the end", attempt.at, describe(more)));
             }
         }
         peaks.stall = self.stalls.iter().map(|stall| stall.until - stall.from).max().unwrap_or(0);
         peaks.near_stalls = self.attempts.iter().filter(|attempt| self.is_near_stall(attempt.at)).count();
         self.peaks = peaks;
-        for (rule, at, details) in broken {
+        for (rule, at, details) in found {
             self.add(rule, at, details);
         }
     }
 
-    /// Further attempts keep to the budget, counted for each router over the whole run.
+    /// Checks that retries and hedged attempts stay within the retry budget, for each router over the whole run.
     fn check_budget(&mut self) {
         let mut first: BTreeSet<&str> = BTreeSet::new();
-        let mut further: BTreeMap<usize, (usize, Micros)> = BTreeMap::new();
+        let mut repeated: BTreeMap<usize, (usize, Micros)> = BTreeMap::new();
         let mut arrivals: BTreeMap<usize, usize> = BTreeMap::new();
         for request in self.requests.values() {
             *arrivals.entry(request.router).or_default() += 1 + request.shards.len();
@@ -295,33 +313,38 @@
         for attempt in &self.attempts {
             let Some(request) = self.requests.get(attempt.query) else { continue };
             if !first.insert(attempt.id) {
-                let entry = further.entry(request.router).or_default();
+                let entry = repeated.entry(request.router).or_default();
                 *entry = (entry.0 + 1, attempt.at);
             }
         }
         let span = self.attempts.last().map_or(0, |last| last.at - self.attempts[0].at);
-        let windows = (span / (BUDGET_WINDOW_MS * MILLISECOND) + 1) as f64;
-        for (router, (count, at)) in further {
-            let starts = self.cluster.routers[router].incidents.iter();
-            let starts = starts.filter(|(_, incident)| *incident == Incident::Started).count() as f64;
+        let windows = (span / (RETRY_BUDGET_WINDOW_MS * MILLISECOND) + 1) as f64;
+        for (router, (count, at)) in repeated {
+            let starts = self.cluster.routers[router].events.iter();
+            let starts = starts.filter(|(_, event)| *event == RouterEvent::Started).count() as f64;
             let arrived = arrivals.get(&router).copied().unwrap_or(0) as f64;
-            let allowed = FREE_ATTEMPTS * (windows + starts) + BUDGET_SHARE * arrived;
+            let allowed = FREE_RETRIES * (windows + starts) + RETRY_BUDGET_SHARE * arrived;
             if count as f64 > allowed {
-                let details =
-                    format!("router {router}: {count} further attempts where {allowed:.0} are allowed");
+                let details = format!(
+                    "router {router}: {count} retries and hedged attempts where {allowed:.0} are allowed"
+                );
                 self.add("budget", at, details);
             }
         }
     }
 
-    /// Clients that stop in the middle are ended in time, and nothing follows the final answer.
+    /// Checks that routers end truncated requests in time and send nothing after the final response.
     fn check_clients(&mut self, records: &[Record]) {
         for record in records {
             match record {
                 Record::BadClientEnded { at, router, after, is_ended_by_router } => {
-                    let is_in_time = *is_ended_by_router && *after <= BAD_CLIENT_LIMIT + MEASURING_SLACK;
+                    let is_in_time =
+                        *is_ended_by_router && *after <= TRUNCATED_REQUEST_LIMIT + MEASUREMENT_SLACK;
                     if !is_in_time && !self.is_excused_by_kill(*router, at - after, *at) {
-                        let details = format!("router {router}: not ended after {} ms", after / MILLISECOND);
+                        let details = format!(
+                            "router {router}: truncated request still open after {} ms",
+                            after / MILLISECOND
+                        );
                         self.add("bad client kept", *at, details);
                     }
                 }
@@ -331,15 +354,19 @@
         }
     }
 
-    /// Routers start, run and end as they should, and report no violation of their own.
+    /// Checks that routers start and exit normally, stay within their limits and log no violation of their invariants.
     fn check_routers(&mut self) {
         let cluster = self.cluster;
         for router in &cluster.routers {
-            let log = router.log.lock().expect("a lock");
-            for &(at, incident) in &router.incidents {
-                if matches!(incident, Incident::Crashed | Incident::NotReady) {
+            let log = router.log.lock().expect("the mutex is not poisoned");
+            for &(at, event) in &router.events {
+                if matches!(event, RouterEvent::Crashed | RouterEvent::NotReady) {
                     let last: Vec<&String> = log.iter().rev().take(3).collect();
-                    self.add("router ended", at, format!("router {}: {incident:?}: {last:?}", router.index));
+                    self.add(
+                        "router ended",
+                        at,
+                        format!("router {}: {event:?}; last log lines, newest first: {last:?}", router.index),
+                    );
                 }
             }
             let Usage { descriptors, kibibytes } = router.peak;
@@ -360,7 +387,7 @@
         let (requests, attempts, peaks) = (self.requests.len(), self.attempts.len(), self.peaks);
         let mut totals = Totals { requests, attempts, peaks, ..Totals::default() };
         for request in self.requests.values() {
-            match request.answer {
+            match request.response {
                 Some((_, 200, _)) => totals.complete += 1,
                 Some((_, 429 | 503, _)) => totals.rejected += 1,
                 Some(_) => totals.failed += 1,
@@ -368,7 +395,7 @@
             }
         }
         let distinct: BTreeSet<&str> = self.attempts.iter().map(|attempt| attempt.id).collect();
-        totals.further_attempts = totals.attempts - distinct.len();
+        totals.repeated_attempts = totals.attempts - distinct.len();
         totals
     }
 }
--- a/crates/soak/src/checker/nodes.rs
+++ b/crates/soak/src/checker/nodes.rs
@@ -1,101 +1,106 @@
-//! Rules on data nodes: drains are kept, and no cold node is pushed over.
+//! Rules on data nodes: draining and removed nodes get no new requests, and nodes that warm up are not overloaded.
 
-use super::{Attempt, HOLD_UP, Judge, MEASURING_SLACK, PROTOCOL_SLACK};
+use super::{Attempt, Checker, MAX_ROUTER_DELAY, MEASUREMENT_SLACK, PROTOCOL_SLACK};
 use crate::clock::{MILLISECOND, Micros, SECOND};
-use crate::cluster::Published;
-use crate::config::{COLD_MULTIPLE, COLD_SHARE, COLD_WINDOW_MS, DRAIN_GRACE_MS, MEAN_WORK_MS, WARM_UP_MS};
-use crate::discovery::Mood;
+use crate::cluster::EndpointChange;
+use crate::config::{
+    COLD_CAPACITY_SHARE, COLD_OVERLOAD_MULTIPLE, COLD_OVERLOAD_WINDOW_MS, DRAIN_GRACE_MS,
+    MEAN_SERVICE_TIME_MS, WARM_UP_MS,
+};
+use crate::discovery::DiscoveryMode;
 use std::collections::BTreeMap;
 
-/// When a change counts as told at the latest once discovery can be reached.
-const TOLD_AFTER: Micros = 6 * SECOND;
+/// How long after discovery became reachable a change counts as delivered at the latest.
+const DELIVERY_TIMEOUT: Micros = 6 * SECOND;
 
-impl Judge<'_> {
-    /// When a router was told a change, or counts as told.
-    fn told_at(&self, router: usize, change: &Published) -> Option<Micros> {
-        let told = self.cluster.discovery.told_at(router, change.revision);
-        let reachable = self.reachable_for_long(change.at).map(|from| from + TOLD_AFTER);
-        told.into_iter().chain(reachable).min()
+impl Checker<'_> {
+    /// Returns from which time a change counts as delivered to a router: when discovery sent it, or after
+    /// [`DELIVERY_TIMEOUT`] of reachable discovery if that is earlier.
+    fn delivered_at(&self, router: usize, change: &EndpointChange) -> Option<Micros> {
+        let delivered = self.cluster.discovery.sent_at(router, change.revision);
+        let reachable = self.reachable_from(change.at).map(|from| from + DELIVERY_TIMEOUT);
+        delivered.into_iter().chain(reachable).min()
     }
 
-    /// The first time from `since` on from which discovery could be reached for as long as it may take to tell a change.
-    fn reachable_for_long(&self, since: Micros) -> Option<Micros> {
-        let moods = &self.cluster.moods;
-        let ends = moods.iter().skip(1).map(|(at, _)| *at).chain([Micros::MAX]);
-        let mut periods = moods.iter().zip(ends).filter(|((_, mood), _)| *mood == Mood::Well);
+    /// Returns the first time, not before `since`, from which discovery was reachable for [`DELIVERY_TIMEOUT`].
+    fn reachable_from(&self, since: Micros) -> Option<Micros> {
+        let discovery_modes = &self.cluster.discovery_modes;
+        let ends = discovery_modes.iter().skip(1).map(|(at, _)| *at).chain([Micros::MAX]);
+        let mut periods =
+            discovery_modes.iter().zip(ends).filter(|((_, mode), _)| *mode == DiscoveryMode::Well);
         periods.find_map(|(&(from, _), until)| {
             let from = from.max(since);
-            (until >= from.saturating_add(TOLD_AFTER)).then_some(from)
+            (until >= from.saturating_add(DELIVERY_TIMEOUT)).then_some(from)
         })
     }
 
-    /// Nodes that drain or are gone get nothing new.
+    /// Checks that draining and removed nodes get no new requests.
     pub(super) fn check_drains(&mut self) {
-        let grace = DRAIN_GRACE_MS * MILLISECOND + PROTOCOL_SLACK + HOLD_UP + MEASURING_SLACK;
-        let mut broken = Vec::new();
+        let grace = DRAIN_GRACE_MS * MILLISECOND + PROTOCOL_SLACK + MAX_ROUTER_DELAY + MEASUREMENT_SLACK;
+        let mut found = Vec::new();
         for (index, change) in
             self.cluster.published.iter().enumerate().filter(|(_, change)| !change.is_ready)
         {
             let later = self.cluster.published[index + 1..].iter();
             let ready_again = later.filter(|later| later.node == change.node).find(|later| later.is_ready);
             let until = ready_again.map_or(Micros::MAX, |ready| ready.at);
-            let told: Vec<Option<Micros>> =
-                (0..self.cluster.routers.len()).map(|router| self.told_at(router, change)).collect();
+            let delivered: Vec<Option<Micros>> =
+                (0..self.cluster.routers.len()).map(|router| self.delivered_at(router, change)).collect();
             let at_node = self.attempts.iter().filter(|attempt| attempt.node == change.node);
-            for attempt in at_node.filter(|attempt| !self.may_be_held(attempt)) {
+            for attempt in at_node.filter(|attempt| !self.may_be_delayed(attempt)) {
                 let Some(request) = self.requests.get(attempt.query) else { continue };
-                let Some(told_at) = told[request.router] else { continue };
-                if attempt.at > told_at + grace && attempt.at < until {
-                    let after = (attempt.at - told_at) / MILLISECOND;
+                let Some(delivered_at) = delivered[request.router] else { continue };
+                if attempt.at > delivered_at + grace && attempt.at < until {
+                    let after = (attempt.at - delivered_at) / MILLISECOND;
                     let details = format!(
-                        "{} of router {} at node {}: {after} ms after revision {} was told",
+                        "{} of router {} at node {}: {after} ms after revision {} was delivered",
                         attempt.id, request.router, attempt.node, change.revision
                     );
-                    broken.push((attempt.at, details));
+                    found.push((attempt.at, details));
                 }
             }
         }
-        for (at, details) in broken {
+        for (at, details) in found {
             self.add("drain", at, details);
         }
     }
 
-    /// Nodes that started recently get no more than they bear.
+    /// Checks that nodes that warm up get no more requests than they can handle.
     pub(super) fn check_cold_nodes(&mut self) {
-        let mut broken = Vec::new();
+        let mut found = Vec::new();
         for start in self.cluster.published.iter().filter(|change| change.is_ready && change.started_at > 0) {
             let until = start.started_at + WARM_UP_MS * MILLISECOND;
-            let is_meant = |attempt: &&Attempt| {
+            let is_relevant = |attempt: &&Attempt| {
                 attempt.node == start.node
                     && (start.started_at..until).contains(&attempt.at)
-                    && !self.may_be_held(attempt)
+                    && !self.may_be_delayed(attempt)
             };
-            let attempts: Vec<&Attempt> = self.attempts.iter().filter(is_meant).collect();
+            let attempts: Vec<&Attempt> = self.attempts.iter().filter(is_relevant).collect();
             let overload = attempts.iter().enumerate().find_map(|(last, attempt)| {
-                let from = attempt.at - COLD_WINDOW_MS * MILLISECOND;
+                let from = attempt.at - COLD_OVERLOAD_WINDOW_MS * MILLISECOND;
                 let window: Vec<&&Attempt> =
                     attempts[..=last].iter().filter(|other| other.at > from).collect();
-                let told = window.iter().filter(|other| self.was_told(other, start)).count();
+                let delivered = window.iter().filter(|other| self.was_delivered(other, start)).count();
                 let allowed = cold_allowance(attempt.at - start.started_at);
-                let is_overload = window.len() as f64 > allowed && 3 * told > 2 * window.len();
+                let is_overload = window.len() as f64 > allowed && 3 * delivered > 2 * window.len();
                 is_overload.then(|| (attempt.at, self.count_by_router(&window), allowed))
             });
             if let Some((at, by_router, allowed)) = overload {
                 let age = (at - start.started_at) / MILLISECOND;
                 let count: usize = by_router.values().sum();
                 let details = format!(
-                    "node {}: {count} where {allowed:.1} are allowed, {age} ms old, by router: {by_router:?}",
+                    "node {}: {count} requests where {allowed:.1} are allowed, {age} ms old, by router: {by_router:?}",
                     start.node
                 );
-                broken.push((at, details));
+                found.push((at, details));
             }
         }
-        for (at, details) in broken {
+        for (at, details) in found {
             self.add("cold overload", at, details);
         }
     }
 
-    /// How many of these attempts came from each router.
+    /// Returns the number of these attempts from each router.
     fn count_by_router(&self, attempts: &[&&Attempt]) -> BTreeMap<usize, usize> {
         let mut counts = BTreeMap::new();
         for attempt in attempts {
@@ -106,17 +111,19 @@
         counts
     }
 
-    fn was_told(&self, attempt: &Attempt, start: &Published) -> bool {
+    fn was_delivered(&self, attempt: &Attempt, start: &EndpointChange) -> bool {
         let Some(request) = self.requests.get(attempt.query) else { return false };
-        let told = self.cluster.discovery.told_at(request.router, start.revision);
-        told.is_some_and(|told| told <= attempt.at)
+        let delivered = self.cluster.discovery.sent_at(request.router, start.revision);
+        delivered.is_some_and(|delivered| delivered <= attempt.at)
     }
 }
 
-/// How many shard requests a node of this age may get in a window.
+/// Returns how many shard requests a node of this age may receive within [`COLD_OVERLOAD_WINDOW_MS`].
 fn cold_allowance(age: Micros) -> f64 {
-    let window = (COLD_WINDOW_MS * MILLISECOND) as f64;
-    let capacity = COLD_SHARE + (1.0 - COLD_SHARE) * age as f64 / (WARM_UP_MS * MILLISECOND) as f64;
-    let count = COLD_MULTIPLE * capacity * window / (MEAN_WORK_MS as f64 * MILLISECOND as f64);
+    let window = (COLD_OVERLOAD_WINDOW_MS * MILLISECOND) as f64;
+    let capacity =
+        COLD_CAPACITY_SHARE + (1.0 - COLD_CAPACITY_SHARE) * age as f64 / (WARM_UP_MS * MILLISECOND) as f64;
+    let count =
+        COLD_OVERLOAD_MULTIPLE * capacity * window / (MEAN_SERVICE_TIME_MS as f64 * MILLISECOND as f64);
     if count < 30.0 { count + 3.0 * count.sqrt() + 3.0 } else { count + 2.0 * count.sqrt() + 2.0 }
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients of one router as a process: each thread sends one query after another, some of them badly.
+//! A process of clients of one router. Each thread sends one query after another. Some queries it writes slowly,
+//! truncates, pipelines or abandons.
 
 use crate::clock::{MILLISECOND, Micros, SECOND, now, sleep_ms};
 use crate::config::{CLASSES, Class, SHARDS};
@@ -22,7 +23,7 @@
     /// the router's address
     #[argh(option)]
     address: String,
-    /// the seed of all draws
+    /// the seed of the random numbers of its threads
     #[argh(option)]
     seed: u64,
     /// how many threads send queries
@@ -30,76 +31,79 @@
     threads: usize,
 }
 
-/// How many of a hundred requests state less time than their class has.
-const SHORT_TIME_PERCENT: u32 = 10;
-/// How long a client waits beyond its time before it counts a request as unanswered.
-const UNANSWERED_AFTER: Micros = 2 * SECOND;
-/// How long a client that stopped in the middle of a request waits for its end.
-const BAD_CLIENT_PATIENCE: Duration = Duration::from_millis(4500);
+/// Percentage of the requests that state a shorter deadline than that of their class.
+const SHORT_DEADLINE_PERCENT: u32 = 10;
+/// How long after the deadline of a request its client still waits for the response.
+const RESPONSE_TIMEOUT_MARGIN: Micros = 2 * SECOND;
+/// How long a client that sent a truncated request waits for a response or the close of its connection.
+const TRUNCATED_REQUEST_TIMEOUT: Duration = Duration::from_millis(4500);
 
-/// Whether clients may connect, and whether they go on at all.
+/// Flags by which the main thread controls the client threads.
 #[derive(Default)]
-struct Front {
+struct ClientControl {
     may_connect: AtomicBool,
     has_ended: AtomicBool,
 }
 
 impl Client {
-    /// Sends queries until a line on standard input says `end`; `open` and `closed` tell whether to connect.
+    /// Sends queries until it reads the line `end` or the end of standard input. After the line `open` the clients may
+    /// open connections; at the start and after `closed` they may not.
     pub fn run(self) {
-        let front = Arc::new(Front::default());
+        let control = Arc::new(ClientControl::default());
         let mut threads = Vec::new();
         for thread in 0..self.threads {
-            let (front, router, address) = (front.clone(), self.router, self.address.clone());
+            let (control, router, address) = (control.clone(), self.router, self.address.clone());
             let rng = Rng::with_seed(self.seed * 1000 + thread as u64);
             let name = format!("r{router}-s{}-t{thread}", self.seed);
             threads.push(std::thread::spawn(move || {
-                Session { front, router, address, rng, name, count: 0, connection: None }.run();
+                ClientThread { control, router, address, rng, name, request_count: 0, connection: None }
+                    .run();
             }));
         }
         Record::Ready { address: String::new() }.print();
         stall::watch_and_print(None);
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
             match line.trim() {
-                "open" => front.may_connect.store(true, Ordering::SeqCst),
-                "closed" => front.may_connect.store(false, Ordering::SeqCst),
+                "open" => control.may_connect.store(true, Ordering::SeqCst),
+                "closed" => control.may_connect.store(false, Ordering::SeqCst),
                 _ => break,
             }
         }
-        front.has_ended.store(true, Ordering::SeqCst);
+        control.has_ended.store(true, Ordering::SeqCst);
         for thread in threads {
             let _ = thread.join();
         }
     }
 }
 
-/// What a client does with a request.
+/// How a client sends a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Manner {
+enum SendMode {
     Plain,
-    Slowly,
-    LeaveEarly,
+    Slow,
+    CloseEarly,
     Pipelined,
-    StopInTheMiddle,
+    Truncated,
 }
 
 struct Connection {
     stream: BufReader<TcpStream>,
-    /// Whether no answer has come on it yet.
+    /// Whether no response has been received on the connection yet.
     is_new: bool,
 }
 
-struct Session {
-    front: Arc<Front>,
+/// A client, which runs on a thread of its own.
+struct ClientThread {
+    control: Arc<ClientControl>,
     router: usize,
     address: String,
     rng: Rng,
     name: String,
-    count: u64,
+    request_count: u64,
     connection: Option<Connection>,
 }
 
-/// A request and what is expected of its answer.
+/// A request for `shards` that states a deadline of `expires_ms` from now.
 #[derive(Clone)]
 struct Request {
     id: String,
@@ -108,26 +112,26 @@
     shards: Vec<usize>,
 }
 
-/// Why no answer came.
+/// Why a request got no response.
 #[derive(Clone, Copy, PartialEq)]
-enum NoAnswer {
+enum Failure {
     Closed,
     Timeout,
 }
 
-impl Session {
+impl ClientThread {
     fn run(mut self) {
-        while !self.front.has_ended.load(Ordering::SeqCst) {
+        while !self.control.has_ended.load(Ordering::SeqCst) {
             sleep_ms(self.rng.u64(5..60));
-            let manner = match self.rng.u32(0..100) {
-                0..=4 => Manner::Slowly,
-                5..=10 => Manner::LeaveEarly,
-                11..=14 => Manner::Pipelined,
-                15 => Manner::StopInTheMiddle,
-                _ => Manner::Plain,
+            let send_mode = match self.rng.u32(0..100) {
+                0..=4 => SendMode::Slow,
+                5..=10 => SendMode::CloseEarly,
+                11..=14 => SendMode::Pipelined,
+                15 => SendMode::Truncated,
+                _ => SendMode::Plain,
             };
-            let may_connect = self.front.may_connect.load(Ordering::SeqCst);
-            // Clients keep using the connections that they have where they get no new one.
+            let may_connect = self.control.may_connect.load(Ordering::SeqCst);
+            // While clients may not connect, they keep using the connections that they have.
             if may_connect && self.rng.u32(0..4) == 0 {
                 self.connection = None;
             }
@@ -135,10 +139,10 @@
                 sleep_ms(20);
                 continue;
             }
-            match manner {
-                Manner::StopInTheMiddle => self.stop_in_the_middle(),
-                Manner::Pipelined => self.ask_pipelined(),
-                _ => self.ask(manner),
+            match send_mode {
+                SendMode::Truncated => self.send_truncated(),
+                SendMode::Pipelined => self.send_pipelined(),
+                _ => self.send_request(send_mode),
             }
         }
     }
@@ -147,7 +151,7 @@
         if self.connection.is_some() {
             return true;
         }
-        if !self.front.may_connect.load(Ordering::SeqCst) {
+        if !self.control.may_connect.load(Ordering::SeqCst) {
             return false;
         }
         let Ok(stream) = TcpStream::connect(&self.address) else { return false };
@@ -161,13 +165,13 @@
         let mut shards: Vec<usize> = (0..SHARDS).collect();
         self.rng.shuffle(&mut shards);
         shards.truncate(self.rng.usize(1..5));
-        self.count += 1;
-        let share = if self.rng.u32(0..100) < SHORT_TIME_PERCENT { self.rng.i64(30..100) } else { 100 };
-        let expires_ms = class.deadline_ms * share / 100;
-        Request { id: format!("{}-{}", self.name, self.count), class, expires_ms, shards }
+        self.request_count += 1;
+        let percent = if self.rng.u32(0..100) < SHORT_DEADLINE_PERCENT { self.rng.i64(30..100) } else { 100 };
+        let expires_ms = class.deadline_ms * percent / 100;
+        Request { id: format!("{}-{}", self.name, self.request_count), class, expires_ms, shards }
     }
 
-    fn report_asked(&self, at: Micros, request: &Request, behind: Option<&Request>) {
+    fn report_sent(&self, at: Micros, request: &Request, behind: Option<&Request>) {
         Record::Asked {
             at,
             router: self.router,
@@ -180,54 +184,55 @@
         .print();
     }
 
-    /// Sends one request and reads its answer. One that crosses the close of a connection is sent once more.
-    fn ask(&mut self, manner: Manner) {
+    /// Sends one request and reads its response. A request is sent again if its connection was reused and is closed
+    /// before the response, since the router may have closed it before it read the request.
+    fn send_request(&mut self, send_mode: SendMode) {
         let request = self.new_request();
         let Some(mut connection) = self.connection.take() else { return };
         let is_new_connection = connection.is_new;
-        if !write_request(&mut connection, &request, manner) && !is_new_connection {
-            return self.ask_again(&request);
+        if !write_request(&mut connection, &request, send_mode) && !is_new_connection {
+            return self.resend(&request);
         }
-        self.report_asked(now(), &request, None);
-        if manner == Manner::LeaveEarly {
+        self.report_sent(now(), &request, None);
+        if send_mode == SendMode::CloseEarly {
             sleep_ms(self.rng.u64(0..40));
             drop(connection);
             Record::Left { at: now(), id: request.id }.print();
             return;
         }
-        match read_answer(&mut connection, &request) {
-            Ok(true) => self.keep(connection),
+        match read_response(&mut connection, &request) {
+            Ok(true) => self.keep_connection(connection),
             Ok(false) => {}
-            Err(NoAnswer::Closed) if !is_new_connection => self.ask_again(&request),
+            Err(Failure::Closed) if !is_new_connection => self.resend(&request),
             Err(cause) => report_lost(&request, is_new_connection, cause),
         }
     }
 
-    /// Sends a request once more, on a new connection.
-    fn ask_again(&mut self, request: &Request) {
+    /// Sends a request again, on a new connection.
+    fn resend(&mut self, request: &Request) {
         Record::ClosedUnanswered { at: now(), router: self.router, id: request.id.clone() }.print();
         self.connection = None;
         if !self.connect() {
             return;
         }
         let Some(mut connection) = self.connection.take() else { return };
-        write_request(&mut connection, request, Manner::Plain);
-        self.report_asked(now(), request, None);
-        match read_answer(&mut connection, request) {
-            Ok(true) => self.keep(connection),
+        write_request(&mut connection, request, SendMode::Plain);
+        self.report_sent(now(), request, None);
+        match read_response(&mut connection, request) {
+            Ok(true) => self.keep_connection(connection),
             Ok(false) => {}
             Err(cause) => report_lost(request, true, cause),
         }
     }
 
-    /// Keeps a connection on which an answer came.
-    fn keep(&mut self, mut connection: Connection) {
+    /// Keeps a connection for the next request after a response on it.
+    fn keep_connection(&mut self, mut connection: Connection) {
         connection.is_new = false;
         self.connection = Some(connection);
     }
 
-    /// Sends several requests at once and reads their answers in order.
-    fn ask_pipelined(&mut self) {
+    /// Pipelines several requests on one connection and reads their responses in order.
+    fn send_pipelined(&mut self) {
         let requests: Vec<Request> = (0..3).map(|_| self.new_request()).collect();
         let Some(mut connection) = self.connection.take() else { return };
         let bytes: String = requests.iter().map(encode).collect();
@@ -236,37 +241,38 @@
         }
         let at = now();
         for (index, request) in requests.iter().enumerate() {
-            // Requests behind one whose connection ends were not taken; only the first is reported before.
+            // The router reads no request after the one at which it closes the connection, so each request is
+            // reported only once the response to the one before has been read.
             let behind = index.checked_sub(1).map(|earlier| &requests[earlier]);
-            self.report_asked(at, request, behind);
-            match read_answer(&mut connection, request) {
+            self.report_sent(at, request, behind);
+            match read_response(&mut connection, request) {
                 Ok(true) => connection.is_new = false,
                 Ok(false) => return,
-                Err(NoAnswer::Timeout) => return report_lost(request, connection.is_new, NoAnswer::Timeout),
-                Err(NoAnswer::Closed) if index == 0 && !connection.is_new => return self.ask_again(request),
-                Err(NoAnswer::Closed) => {
+                Err(Failure::Timeout) => return report_lost(request, connection.is_new, Failure::Timeout),
+                Err(Failure::Closed) if index == 0 && !connection.is_new => return self.resend(request),
+                Err(Failure::Closed) => {
                     let is_first = request.id == requests[0].id;
-                    return report_lost(request, connection.is_new && is_first, NoAnswer::Closed);
+                    return report_lost(request, connection.is_new && is_first, Failure::Closed);
                 }
             }
         }
         self.connection = Some(connection);
     }
 
-    /// Sends half a request and waits for an error or the close.
-    fn stop_in_the_middle(&mut self) {
+    /// Sends part of a request and waits for an error response or the close of the connection.
+    fn send_truncated(&mut self) {
         self.connection = None;
         if !self.connect() {
             return;
         }
         let Some(mut connection) = self.connection.take() else { return };
         let bytes = encode(&self.new_request());
-        let half = self.rng.usize(1..bytes.len() - 1);
-        if connection.stream.get_mut().write_all(&bytes.as_bytes()[..half]).is_err() {
+        let split_at = self.rng.usize(1..bytes.len() - 1);
+        if connection.stream.get_mut().write_all(&bytes.as_bytes()[..split_at]).is_err() {
             return;
         }
         let started = now();
-        let _ = connection.stream.get_ref().set_read_timeout(Some(BAD_CLIENT_PATIENCE));
+        let _ = connection.stream.get_ref().set_read_timeout(Some(TRUNCATED_REQUEST_TIMEOUT));
         let result = connection.stream.read(&mut [0; 64]);
         let is_timeout =
             |error: &std::io::Error| matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut);
@@ -276,8 +282,8 @@
     }
 }
 
-fn report_lost(request: &Request, is_new_connection: bool, cause: NoAnswer) {
-    let (id, is_timeout) = (request.id.clone(), cause == NoAnswer::Timeout);
+fn report_lost(request: &Request, is_new_connection: bool, cause: Failure) {
+    let (id, is_timeout) = (request.id.clone(), cause == Failure::Timeout);
     Record::Lost { at: now(), id, is_new_connection, is_timeout }.print();
 }
 
@@ -295,44 +301,44 @@
     )
 }
 
-/// Writes a request; false if the connection has ended.
-fn write_request(connection: &mut Connection, request: &Request, manner: Manner) -> bool {
+/// Writes a request. Returns false if the connection has been closed.
+fn write_request(connection: &mut Connection, request: &Request, send_mode: SendMode) -> bool {
     let bytes = encode(request);
     let stream = connection.stream.get_mut();
-    if manner != Manner::Slowly {
+    if send_mode != SendMode::Slow {
         return stream.write_all(bytes.as_bytes()).is_ok();
     }
-    let piece = bytes.len() / 4 + 1;
-    bytes.as_bytes().chunks(piece).all(|piece| {
+    let chunk_size = bytes.len() / 4 + 1;
+    bytes.as_bytes().chunks(chunk_size).all(|chunk| {
         sleep_ms(15);
-        stream.write_all(piece).is_ok()
+        stream.write_all(chunk).is_ok()
     })
 }
 
-/// Reads an answer and reports it. Returns whether the connection goes on.
-fn read_answer(connection: &mut Connection, request: &Request) -> Result<bool, NoAnswer> {
-    let patience = request.expires_ms * MILLISECOND + UNANSWERED_AFTER;
-    let timeout = Duration::from_micros(patience as u64);
+/// Reads a response and reports it. Returns whether the connection stays open.
+fn read_response(connection: &mut Connection, request: &Request) -> Result<bool, Failure> {
+    let time_limit = request.expires_ms * MILLISECOND + RESPONSE_TIMEOUT_MARGIN;
+    let timeout = Duration::from_micros(time_limit as u64);
     let _ = connection.stream.get_ref().set_read_timeout(Some(timeout));
     let failure = |error: std::io::Error| match error.kind() {
-        ErrorKind::WouldBlock | ErrorKind::TimedOut => NoAnswer::Timeout,
-        _ => NoAnswer::Closed,
+        ErrorKind::WouldBlock | ErrorKind::TimedOut => Failure::Timeout,
+        _ => Failure::Closed,
     };
     let mut line = String::new();
     if connection.stream.read_line(&mut line).map_err(failure)? == 0 {
-        return Err(NoAnswer::Closed);
+        return Err(Failure::Closed);
     }
-    let status = line.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or(NoAnswer::Closed)?;
-    let (mut length, mut goes_on) = (0, true);
+    let status = line.split(' ').nth(1).and_then(|status| status.parse().ok()).ok_or(Failure::Closed)?;
+    let (mut length, mut keeps_alive) = (0, true);
     loop {
         line.clear();
         if connection.stream.read_line(&mut line).map_err(failure)? == 0 {
-            return Err(NoAnswer::Closed);
+            return Err(Failure::Closed);
         }
         if let Some(value) = line.strip_prefix("Content-Length: ") {
             length = value.trim().parse().unwrap_or(0);
         }
-        goes_on &= !line.eq_ignore_ascii_case("connection: close\r\n");
+        keeps_alive &= !line.eq_ignore_ascii_case("connection: close\r\n");
         if line == "\r\n" {
             break;
         }
@@ -341,11 +347,11 @@
     connection.stream.read_exact(&mut body).map_err(failure)?;
     let (at, id) = (now(), request.id.clone());
     Record::Answered { at, id, status, body: String::from_utf8_lossy(&body).into_owned() }.print();
-    if !goes_on {
+    if !keeps_alive {
         let _ = connection.stream.get_ref().set_read_timeout(Some(Duration::from_millis(300)));
         if matches!(connection.stream.read(&mut [0; 16]), Ok(count) if count > 0) {
             Record::SentAfterAnswer { at: now(), id: request.id.clone() }.print();
         }
     }
-    Ok(goes_on)
+    Ok(keeps_alive)
 }
--- a/crates/soak/src/clock.rs
+++ b/crates/soak/src/clock.rs
@@ -1,4 +1,4 @@
-//! Time that all processes of a machine share.
+//! Clocks that all processes of a machine share.
 
 use rustix::time::{ClockId, clock_gettime};
 use std::time::Duration;
@@ -6,18 +6,18 @@
 /// Monotonic time in microseconds.
 pub type Micros = i64;
 
-/// The microseconds of a millisecond.
+/// One millisecond in microseconds.
 pub const MILLISECOND: Micros = 1000;
-/// The microseconds of a second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
 
-/// The monotonic time, which is the same in all processes.
+/// Returns the monotonic time, which is the same in all processes.
 pub fn now() -> Micros {
     let time = clock_gettime(ClockId::Monotonic);
     time.tv_sec * SECOND + time.tv_nsec / 1000
 }
 
-/// The wall clock in milliseconds.
+/// Returns the wall-clock time in milliseconds since the Unix epoch.
 pub fn wall_clock_ms() -> i64 {
     let time = clock_gettime(ClockId::Realtime);
     time.tv_sec * 1000 + time.tv_nsec / 1_000_000
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,9 +1,9 @@
-//! All processes of a run, and what was done to them.
+//! All processes of a run, the actions on them, and the times of those that the checks refer to.
 
 use crate::clock::{Micros, now, wall_clock_ms};
 use crate::config::router_config;
-use crate::discovery::{Discovery, Mood};
-use crate::idle_connections::Crowd;
+use crate::discovery::{Discovery, DiscoveryMode};
+use crate::idle_connections::IdleConnections;
 use crate::node::Behaviour;
 use crate::proxy::Proxy;
 use crate::recording_process::{RecordingProcess, Records};
@@ -13,10 +13,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Every how many seeds a run has a crowd.
-const CROWD_EVERY: u64 = 3;
+/// The run of every seed that is a multiple of this number has idle connections.
+const IDLE_CONNECTIONS_EVERY: u64 = 3;
 
-/// How many processes of each kind there are.
+/// Number of processes of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub routers: usize,
@@ -24,44 +24,45 @@
     pub clients_per_router: usize,
 }
 
-/// A change of a node's entry that was published.
+/// A change of a node's entry in the endpoint list, as discovery published it.
 #[derive(Clone, Copy, Debug)]
-pub struct Published {
+pub struct EndpointChange {
     pub at: Micros,
     pub node: usize,
     pub revision: u64,
-    /// Whether the node may be sent to.
+    /// Whether routers may send requests to the node.
     pub is_ready: bool,
-    /// When the process that it names started.
+    /// Time at which the node's process was restarted; 0 for the first process of a node.
     pub started_at: Micros,
 }
 
-/// A time in which what is sent to a node may reach it late, so that its records tell nothing of when it was sent.
+/// A period in which requests may reach a node late, so that the time of receipt does not show when they were sent.
 #[derive(Clone, Copy, Debug)]
-pub struct Hold {
+pub struct NodeDelay {
     pub node: usize,
     pub from: Micros,
-    /// `None` while it lasts.
+    /// End of the period; `None` until it ends.
     pub until: Option<Micros>,
 }
 
-/// A time in which a router may be held up between reading its clock and writing.
+/// A period in which a router may be delayed between reading its clock and writing to a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct RouterHold {
+pub struct RouterDelay {
     pub router: usize,
     pub from: Micros,
-    /// `None` while it lasts.
+    /// End of the period; `None` until it ends.
     pub until: Option<Micros>,
 }
 
 /// A data node behind its proxy.
 pub struct NodeHandle {
+    /// The current process; `None` from a kill until the restart.
     pub process: Option<RecordingProcess>,
     pub proxy: Proxy,
-    /// When its process started, in monotonic time and by the wall clock.
+    /// Time of the last restart of its process, monotonic and by the wall clock; both 0 if there was none.
     started_at: Micros,
     up_since_ms: i64,
-    /// Whether it is listed as ready.
+    /// Whether discovery lists the node as ready.
     pub is_ready: bool,
     pub behaviour: Behaviour,
 }
@@ -70,19 +71,24 @@
 pub struct Cluster {
     pub size: Size,
     pub discovery: Discovery,
-    pub moods: Vec<(Micros, Mood)>,
-    pub published: Vec<Published>,
-    pub holds: Vec<Hold>,
-    pub router_holds: Vec<RouterHold>,
-    /// Idle connections that fill the routers' descriptors, in some runs.
-    pub crowd: Option<Crowd>,
+    /// The modes of discovery with the times at which they began, in order.
+    pub discovery_modes: Vec<(Micros, DiscoveryMode)>,
+    /// The changes that discovery published, in order.
+    pub published: Vec<EndpointChange>,
+    pub node_delays: Vec<NodeDelay>,
+    pub router_delays: Vec<RouterDelay>,
+    /// Idle connections that use up the routers' descriptors; `None` in most runs.
+    pub idle_connections: Option<IdleConnections>,
     pub nodes: Vec<NodeHandle>,
     pub routers: Vec<RouterProcess>,
+    /// Client processes with the index of their router.
     pub clients: Vec<(usize, RecordingProcess)>,
     pub records: Records,
-    /// Two addresses of discovery for each router, between which reloads move it.
+    /// Two addresses of discovery for each router; a reload switches from one to the other.
     discovery_addresses: Vec<[SocketAddr; 2]>,
+    /// Index of the address of discovery that each router currently uses.
     current_address: Vec<usize>,
+    /// Whether routers watch discovery; otherwise they poll it.
     is_pushed: bool,
     seed: u64,
     folder: PathBuf,
@@ -92,18 +98,18 @@
     /// Starts all processes.
     pub fn start(size: Size, program: &Path, seed: u64) -> Cluster {
         let folder = std::env::temp_dir().join(format!("soak-{}-{seed}", std::process::id()));
-        std::fs::create_dir_all(&folder).expect("a folder");
+        std::fs::create_dir_all(&folder).expect("create the directory of the run");
         let discovery = Discovery::new();
         let listen = |router| [discovery.listen_for(router), discovery.listen_for(router)];
         let mut cluster = Cluster {
             size,
             discovery_addresses: (0..size.routers).map(listen).collect(),
             discovery,
-            moods: vec![(now(), Mood::Well)],
+            discovery_modes: vec![(now(), DiscoveryMode::Well)],
             published: Vec::new(),
-            holds: Vec::new(),
-            router_holds: Vec::new(),
-            crowd: None,
+            node_delays: Vec::new(),
+            router_delays: Vec::new(),
+            idle_connections: None,
             nodes: Vec::new(),
             routers: Vec::new(),
             clients: Vec::new(),
@@ -122,13 +128,13 @@
             cluster.start_router(index);
             cluster.add_clients(index);
         }
-        cluster.start_crowd();
+        cluster.start_idle_connections();
         cluster
     }
 
     fn add_node(&mut self, index: usize) {
         let process = start_node(index, &self.records);
-        let proxy = Proxy::start(process.address.parse().expect("an address"));
+        let proxy = Proxy::start(process.address.parse().expect("the address is valid"));
         self.nodes.push(NodeHandle {
             process: Some(process),
             proxy,
@@ -147,7 +153,7 @@
             let arguments = format!("client --router {router} --address {address} --seed {seed}");
             let arguments: Vec<String> = arguments.split(' ').map(str::to_string).collect();
             let mut process = RecordingProcess::start(&arguments, &self.records);
-            process.tell("open");
+            process.send_line("open");
             self.clients.push((router, process));
         }
     }
@@ -160,39 +166,39 @@
         router_config(router, self.size.routers, listen, discovery, self.is_pushed, &known, seed)
     }
 
-    /// Starts a router's process and lets its clients connect.
+    /// Starts a router's process and allows its clients to connect.
     pub fn start_router(&mut self, router: usize) {
         self.routers[router].write_config(&self.config(router));
         self.routers[router].start();
-        self.tell_clients(router, "open");
+        self.send_to_clients(router, "open");
     }
 
-    /// Tells the clients of a router whether to connect.
-    pub fn tell_clients(&mut self, router: usize, line: &str) {
+    /// Sends a command line to the clients of a router: `open` or `closed`.
+    pub fn send_to_clients(&mut self, router: usize, line: &str) {
         for (_, client) in self.clients.iter_mut().filter(|(of, _)| *of == router) {
-            client.tell(line);
+            client.send_line(line);
         }
     }
 
-    /// Moves a router's discovery to its other address with a reload.
+    /// Reloads a router with a configuration that names the other address of discovery.
     pub fn reload_router(&mut self, router: usize) {
         self.current_address[router] = 1 - self.current_address[router];
         self.routers[router].write_config(&self.config(router));
         self.routers[router].signal(Signal::HUP);
     }
 
-    /// Asks for a reload while the file is half written.
+    /// Reloads a router while its configuration file is half written.
     pub fn reload_half_config(&mut self, router: usize) {
         self.routers[router].write_half_config(&self.config(router));
         self.routers[router].signal(Signal::HUP);
     }
 
-    /// Completes the configuration file.
+    /// Writes the complete configuration file.
     pub fn complete_config(&mut self, router: usize) {
         self.routers[router].write_config(&self.config(router));
     }
 
-    /// Publishes the phase of a node.
+    /// Publishes a node's entry with this phase: `ready`, `draining` or `gone`.
     pub fn publish(&mut self, node: usize, phase: &str) {
         let handle = &mut self.nodes[node];
         handle.is_ready = phase == "ready";
@@ -201,30 +207,30 @@
         let (is_ready, started_at) = (handle.is_ready, handle.started_at);
         let at = now();
         let revision = self.discovery.publish(node, entry);
-        self.published.push(Published { at, node, revision, is_ready, started_at });
+        self.published.push(EndpointChange { at, node, revision, is_ready, started_at });
     }
 
-    /// Kills a node's process without a word.
+    /// Kills a node's process without publishing a change.
     pub fn kill_node(&mut self, node: usize) {
         self.nodes[node].process = None;
     }
 
-    /// Starts a node's process anew.
+    /// Starts a new process of a node, which behaves normally.
     pub fn restart_node(&mut self, node: usize) {
         let process = start_node(node, &self.records);
         let handle = &mut self.nodes[node];
-        handle.proxy.set_node(process.address.parse().expect("an address"));
+        handle.proxy.set_node(process.address.parse().expect("the address is valid"));
         handle.process = Some(process);
         (handle.started_at, handle.up_since_ms) = (now(), wall_clock_ms());
         handle.behaviour = Behaviour::Serve;
     }
 
-    /// Changes how a node behaves.
+    /// Changes the behaviour of a node.
     pub fn set_behaviour(&mut self, node: usize, behaviour: Behaviour) {
         let handle = &mut self.nodes[node];
         handle.behaviour = behaviour;
         if let Some(process) = &mut handle.process {
-            process.tell(&(behaviour as u8).to_string());
+            process.send_line(&(behaviour as u8).to_string());
         }
     }
 
@@ -236,68 +242,70 @@
         }
     }
 
-    /// Changes whether what is sent to a node may reach it late.
-    pub fn set_held(&mut self, node: usize, is_held: bool) {
+    /// Begins or ends a period in which requests may reach a node late.
+    pub fn set_node_delayed(&mut self, node: usize, is_delayed: bool) {
         let at = now();
-        if is_held {
-            self.holds.push(Hold { node, from: at, until: None });
+        if is_delayed {
+            self.node_delays.push(NodeDelay { node, from: at, until: None });
         }
-        if !is_held && let Some(hold) = self.holds.iter_mut().rfind(|hold| hold.node == node) {
-            hold.until = Some(at);
+        if !is_delayed && let Some(delay) = self.node_delays.iter_mut().rfind(|delay| delay.node == node) {
+            delay.until = Some(at);
         }
     }
 
-    /// Changes whether a router may be held up.
-    pub fn set_router_held(&mut self, router: usize, is_held: bool) {
+    /// Begins or ends a period in which a router may be delayed.
+    pub fn set_router_delayed(&mut self, router: usize, is_delayed: bool) {
         let at = now();
-        if is_held {
-            self.router_holds.push(RouterHold { router, from: at, until: None });
+        if is_delayed {
+            self.router_delays.push(RouterDelay { router, from: at, until: None });
         }
-        if !is_held && let Some(hold) = self.router_holds.iter_mut().rfind(|hold| hold.router == router) {
-            hold.until = hold.until.or(Some(at));
+        if !is_delayed
+            && let Some(delay) = self.router_delays.iter_mut().rfind(|delay| delay.router == router)
+        {
+            delay.until = delay.until.or(Some(at));
         }
     }
 
-    /// Stops a router for a moment.
+    /// Stops a router with SIGSTOP and resumes it after this time.
     pub fn pause_router(&mut self, router: usize, milliseconds: u64) {
-        self.set_router_held(router, true);
+        self.set_router_delayed(router, true);
         self.routers[router].pause(milliseconds);
-        self.set_router_held(router, false);
+        self.set_router_delayed(router, false);
     }
 
-    /// Whether the run has a crowd.
-    pub fn has_crowd(&self) -> bool {
-        self.seed.is_multiple_of(CROWD_EVERY)
+    /// Whether the run has idle connections that use up the routers' descriptors.
+    pub fn has_idle_connections(&self) -> bool {
+        self.seed.is_multiple_of(IDLE_CONNECTIONS_EVERY)
     }
 
-    /// Fills the routers' descriptors with idle connections in every third run.
-    fn start_crowd(&mut self) {
-        if self.has_crowd() {
+    /// Opens the idle connections if the run has them.
+    fn start_idle_connections(&mut self) {
+        if self.has_idle_connections() {
             let addresses = self.routers.iter().map(|router| router.address).collect();
-            self.crowd = Some(Crowd::start(addresses));
+            self.idle_connections = Some(IdleConnections::start(addresses));
         }
     }
 
-    /// Changes how discovery treats its callers.
-    pub fn set_mood(&mut self, mood: Mood) {
-        self.discovery.set_mood(mood);
-        self.moods.push((now(), mood));
+    /// Changes how discovery responds.
+    pub fn set_discovery_mode(&mut self, mode: DiscoveryMode) {
+        self.discovery.set_mode(mode);
+        self.discovery_modes.push((now(), mode));
     }
 
-    /// Nodes that are ready and behave well.
-    pub fn sound_nodes(&self) -> Vec<usize> {
-        let is_sound = |node: &usize| {
+    /// Returns the nodes that are listed as ready, run and behave normally.
+    pub fn serving_nodes(&self) -> Vec<usize> {
+        let is_serving = |node: &usize| {
             let handle = &self.nodes[*node];
             handle.is_ready && handle.process.is_some() && handle.behaviour == Behaviour::Serve
         };
-        (0..self.nodes.len()).filter(is_sound).collect()
+        (0..self.nodes.len()).filter(is_serving).collect()
     }
 
-    /// Ends the clients, then the routers in order.
+    /// Ends the clients, then terminates the routers and waits for their exit.
     pub fn finish(&mut self) {
-        self.crowd = None;
+        self.idle_connections = None;
         for (_, client) in &mut self.clients {
-            client.tell("end");
+            client.send_line("end");
         }
         for (_, client) in &mut self.clients {
             client.finish();
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery in the run's own process. Each router has an address of its own, so what each was told is known.
+//! The discovery server, which runs in the process of the test. It listens at separate addresses for each router and so
+//! can record which revisions it sent to which router.
 
 use crate::clock::{Micros, now, sleep_ms};
 use crate::node::reset;
@@ -8,61 +9,61 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// How often a watch gets an empty line while nothing changes.
+/// Interval of the empty lines that discovery sends on a watch while nothing changes.
 const HEARTBEAT_MS: u64 = 2000;
-/// How often a watch looks for changes.
+/// Interval at which a watch checks for changes.
 const WATCH_STEP_MS: u64 = 10;
 
-/// How discovery treats its callers.
+/// How discovery responds to routers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
-    /// As it should.
+pub enum DiscoveryMode {
+    /// Discovery works normally.
     #[default]
     Well,
-    /// Watches end, calls get 503.
+    /// Watches are closed, and new calls get status 503.
     Down,
-    /// Watches stay open and send nothing; calls are not answered.
+    /// Watches stay open without data, and calls get no response.
     Silent,
-    /// Watches are reset once, calls get a late answer.
+    /// New calls get a late response; open watches go on as normal.
     Slow,
 }
 
 #[derive(Default)]
 struct State {
-    mood: Mood,
-    /// Since when the mood is good; `None` while it is not.
-    well_since: Option<Micros>,
+    mode: DiscoveryMode,
+    /// Time since which discovery works normally; `None` while it does not.
+    available_since: Option<Micros>,
     revision: u64,
     members: BTreeMap<usize, Json>,
-    /// The revisions and what changed with them.
+    /// Each change with its revision and node.
     changes: Vec<(u64, usize, Json)>,
-    /// When each router was told each revision at the latest.
-    told: BTreeMap<(usize, u64), Micros>,
-    /// The number of resets of watches that were ordered.
+    /// Time at which discovery first sent a revision to a router, by router and revision.
+    sent: BTreeMap<(usize, u64), Micros>,
+    /// Number of calls of [`Discovery::reset_watches`]; a watch that sees it change resets its connection.
     resets: u64,
 }
 
-/// The discovery server.
+/// The discovery server. Clones share its state.
 #[derive(Clone)]
 pub struct Discovery {
     state: Arc<Mutex<State>>,
 }
 
 impl Discovery {
-    /// A discovery that names no nodes.
+    /// Returns a server whose endpoint list is empty.
     pub fn new() -> Discovery {
-        let state = State { well_since: Some(now()), revision: 1, ..State::default() };
+        let state = State { available_since: Some(now()), revision: 1, ..State::default() };
         Discovery { state: Arc::new(Mutex::new(state)) }
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("a lock")
+        self.state.lock().expect("the mutex is not poisoned")
     }
 
-    /// Listens for one router.
+    /// Opens a new address for one router and serves it on separate threads.
     pub fn listen_for(&self, router: usize) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port on loopback");
+        let address = listener.local_addr().expect("the address is valid");
         let discovery = self.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -75,7 +76,7 @@
         address
     }
 
-    /// Publishes the entry of a node. Returns its revision.
+    /// Publishes the entry of a node, or removes it if its phase is `gone`. Returns the revision of the change.
     pub fn publish(&self, node: usize, entry: Json) -> u64 {
         let mut state = self.lock();
         state.revision += 1;
@@ -89,52 +90,52 @@
         revision
     }
 
-    /// Changes how callers are treated.
-    pub fn set_mood(&self, mood: Mood) {
+    /// Changes how discovery responds.
+    pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = self.lock();
-        state.mood = mood;
-        state.well_since = (mood == Mood::Well).then(now);
+        state.mode = mode;
+        state.available_since = (mode == DiscoveryMode::Well).then(now);
     }
 
-    /// Resets all watches.
+    /// Resets the connections of all watches.
     pub fn reset_watches(&self) {
         self.lock().resets += 1;
     }
 
-    /// The whole list.
+    /// Returns the full endpoint list.
     pub fn list(&self) -> Json {
         full_list(&self.lock())
     }
 
-    /// When a router was told a revision, or a later one.
-    pub fn told_at(&self, router: usize, revision: u64) -> Option<Micros> {
+    /// Returns when discovery first sent this or a later revision to a router, if it did.
+    pub fn sent_at(&self, router: usize, revision: u64) -> Option<Micros> {
         let state = self.lock();
-        let told = state.told.range((router, revision)..(router, u64::MAX));
-        told.map(|(_, at)| *at).min()
+        let sent = state.sent.range((router, revision)..(router, u64::MAX));
+        sent.map(|(_, at)| *at).min()
     }
 
-    fn note_told(&self, router: usize, revision: u64) {
-        self.lock().told.entry((router, revision)).or_insert_with(now);
+    fn record_sent(&self, router: usize, revision: u64) {
+        self.lock().sent.entry((router, revision)).or_insert_with(now);
     }
 
-    /// Reads one request and answers it.
+    /// Reads one request and responds to it.
     fn serve(&self, mut stream: TcpStream, router: usize) -> std::io::Result<()> {
         let _ = stream.set_nodelay(true);
         let mut line = String::new();
         BufReader::new(stream.try_clone()?).read_line(&mut line)?;
-        let mood = self.lock().mood;
-        match mood {
-            Mood::Down => {
+        let mode = self.lock().mode;
+        match mode {
+            DiscoveryMode::Down => {
                 return write!(stream, "HTTP/1.1 503 Down\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
             }
-            Mood::Silent => {
-                while self.lock().mood == Mood::Silent {
+            DiscoveryMode::Silent => {
+                while self.lock().mode == DiscoveryMode::Silent {
                     sleep_ms(WATCH_STEP_MS);
                 }
                 return Ok(());
             }
-            Mood::Slow => sleep_ms(700),
-            Mood::Well => {}
+            DiscoveryMode::Slow => sleep_ms(700),
+            DiscoveryMode::Well => {}
         }
         if line.contains("watch=1") {
             let after = line.split("after=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
@@ -146,7 +147,7 @@
         };
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", list.len());
         stream.write_all((head + &list).as_bytes())?;
-        self.note_told(router, revision);
+        self.record_sent(router, revision);
         Ok(())
     }
 
@@ -156,27 +157,27 @@
         let mut is_first = true;
         let mut idle_ms = 0;
         loop {
-            let (mood, is_reset, newest, message) = {
+            let (mode, is_reset, newest, message) = {
                 let state = self.lock();
                 let message = next_message(&state, revision, is_first);
-                (state.mood, state.resets != resets, state.revision, message)
+                (state.mode, state.resets != resets, state.revision, message)
             };
-            match mood {
+            match mode {
                 _ if is_reset => {
                     reset(&stream);
                     return Ok(());
                 }
-                Mood::Down => return Ok(()),
-                Mood::Silent => {
-                    // It never recovers: the router has to open another.
+                DiscoveryMode::Down => return Ok(()),
+                DiscoveryMode::Silent => {
+                    // This watch never sends again: the router has to open another.
                     sleep_ms(20_000);
                     return Ok(());
                 }
-                Mood::Slow | Mood::Well => {}
+                DiscoveryMode::Slow | DiscoveryMode::Well => {}
             }
             if let Some(message) = message {
                 write_chunk(&mut stream, &message)?;
-                self.note_told(router, newest);
+                self.record_sent(router, newest);
                 (revision, is_first, idle_ms) = (newest, false, 0);
             } else if idle_ms >= HEARTBEAT_MS {
                 write_chunk(&mut stream, "\n")?;
@@ -188,7 +189,8 @@
     }
 }
 
-/// The next object of a watch: the whole list first, then what changed after `revision`.
+/// Returns the next message of a watch, if there is one: the changes after `revision`. The first message is the full
+/// endpoint list if `revision` is even.
 fn next_message(state: &State, revision: u64, is_first: bool) -> Option<String> {
     if is_first && revision.is_multiple_of(2) {
         return Some(full_list(state).to_string() + "\n");
--- a/crates/soak/src/idle_connections.rs
+++ b/crates/soak/src/idle_connections.rs
@@ -1,4 +1,4 @@
-//! A crowd: clients that connect to the routers and send nothing, as many as the routers have descriptors.
+//! Clients that connect to the routers and send nothing, as many as each router has file descriptors.
 
 use crate::clock::sleep_ms;
 use crate::config::MAX_DESCRIPTORS;
@@ -10,18 +10,18 @@
 
 /// The time between two attempts to add a connection to each router.
 const CONNECT_INTERVAL_MS: u64 = 20;
-/// How long a connection may take to be established.
+/// Timeout of an attempt to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Idle connections to all routers, which end when the value is dropped.
-pub struct Crowd {
+/// Idle connections to all routers, which are closed when the value is dropped.
+pub struct IdleConnections {
     has_ended: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Crowd {
-    /// Connects to the routers until each has as many idle connections as descriptors, and again as they close them.
-    pub fn start(routers: Vec<SocketAddr>) -> Crowd {
+impl IdleConnections {
+    /// Opens as many idle connections to each router as it may have descriptors, and replaces those that it closes.
+    pub fn start(routers: Vec<SocketAddr>) -> IdleConnections {
         let has_ended = Arc::new(AtomicBool::new(false));
         let flag = has_ended.clone();
         let thread = std::thread::spawn(move || {
@@ -34,11 +34,11 @@
                 sleep_ms(CONNECT_INTERVAL_MS);
             }
         });
-        Crowd { has_ended, thread: Some(thread) }
+        IdleConnections { has_ended, thread: Some(thread) }
     }
 }
 
-impl Drop for Crowd {
+impl Drop for IdleConnections {
     fn drop(&mut self) {
         self.has_ended.store(true, Ordering::SeqCst);
         if let Some(thread) = self.thread.take() {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Whether the router has not closed the connection.
+/// Returns whether the connection is open and the router has sent nothing on it.
 fn is_open(stream: &TcpStream) -> bool {
     let result = stream.peek(&mut [0; 1]);
     result.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,7 +1,8 @@
-//! A soak test of the query router: routers, data nodes and clients run as processes on loopback while troubles drawn from
-//! a seed overlap in time. All processes write what they see to one record, which is judged by invariants alone.
+//! A soak test of the query router. Routers, data nodes and clients run as processes on loopback while disruptions that
+//! are drawn from a seed overlap in time. All processes report events to one list of records, and a run passes if the
+//! records satisfy the invariants.
 //!
-//! `soak run --seeds 1,2,3 --seconds 20` prints a line for each violation, with ids, and fails if there is one.
+//! `soak run --seeds 1,2,3 --seconds 20` prints a line with the ids for each violation, and fails if there is one.
 
 mod checker;
 mod client;
@@ -22,7 +23,7 @@
 use argh::FromArgs;
 use std::process::ExitCode;
 
-/// Run routers, data nodes and clients under overlapping troubles, and check invariants.
+/// Run routers, data nodes and clients under overlapping disruptions, and check invariants.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,7 +1,7 @@
-//! A data node as a process. Its behaviour changes by lines on standard input.
+//! A process of a data node. Each line on standard input is the number of the behaviour that it switches to.
 
 use crate::clock::{now, sleep_ms};
-use crate::config::MEAN_WORK_MS;
+use crate::config::MEAN_SERVICE_TIME_MS;
 use crate::record::Record;
 use crate::stall;
 use argh::FromArgs;
@@ -20,31 +20,31 @@
     index: usize,
 }
 
-/// How a data node behaves.
+/// How a data node handles shard requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Behaviour {
-    /// Answers each shard request.
+    /// Executes each shard request and responds.
     Serve,
     /// Rejects each shard request without executing it.
     Reject,
-    /// Executes, and never answers.
+    /// Executes and never responds.
     Hang,
-    /// Executes, and resets the connection in place of the answer.
+    /// Executes and resets the connection instead of responding.
     Reset,
-    /// Answers in part and goes silent.
+    /// Sends part of a response and nothing after it.
     HalfAnswer,
-    /// Answers with noise.
+    /// Responds with bytes that are not a valid response.
     Noise,
-    /// Answers much later.
+    /// Responds after a long time.
     Slow,
-    /// Answers with an error.
+    /// Responds with an error.
     Fail,
-    /// Closes each connection behind an answer.
+    /// Responds and then closes the connection.
     CloseIdle,
 }
 
-/// All behaviours in the order of their numbers.
+/// All behaviours in the order of their numbers on standard input.
 pub const BEHAVIOURS: [Behaviour; 9] = [
     Behaviour::Serve,
     Behaviour::Reject,
@@ -57,8 +57,8 @@
     Behaviour::CloseIdle,
 ];
 
-/// How long a slow node takes.
-const SLOW_MS: u64 = 600;
+/// Service time of a slow node.
+const SLOW_SERVICE_TIME_MS: u64 = 600;
 
 struct Shared {
     index: usize,
@@ -80,8 +80,8 @@
 impl Node {
     /// Serves until standard input ends.
     pub fn run(self) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port on loopback");
+        let address = listener.local_addr().expect("the address is valid").to_string();
         Record::Ready { address }.print();
         stall::watch_and_print(Some(self.index));
         let shared = Arc::new(Shared { index: self.index, behaviour: AtomicU8::new(0) });
@@ -100,23 +100,23 @@
     }
 }
 
-/// Reads frames until the router closes.
+/// Reads frames until the router closes the connection.
 fn serve(mut stream: TcpStream, shared: &Arc<Shared>) {
     let _ = stream.set_nodelay(true);
     let Ok(writer) = stream.try_clone() else { return };
     let connection = Arc::new(Connection { stream: writer, cancelled: Mutex::new(HashSet::new()) });
-    let mut head = [0; 5];
-    while stream.read_exact(&mut head).is_ok() {
-        let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
+    let mut header = [0; 5];
+    while stream.read_exact(&mut header).is_ok() {
+        let length = u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize;
         let mut payload = vec![0; length.saturating_sub(1)];
         if stream.read_exact(&mut payload).is_err() {
             return;
         }
         let text = String::from_utf8_lossy(&payload).into_owned();
-        match head[4] {
+        match header[4] {
             b'R' => receive_batch(&text, &connection, shared),
             b'A' => {
-                connection.cancelled.lock().expect("a lock").insert(text);
+                connection.cancelled.lock().expect("the mutex is not poisoned").insert(text);
             }
             b'G' => send(&connection.stream, b'G', "OK"),
             b'T' => send(&connection.stream, b'T', "-"),
@@ -125,34 +125,35 @@
     }
 }
 
-/// Reports each shard request of a batch and works on it.
+/// Reports each shard request of a batch and executes it on a separate thread.
 fn receive_batch(batch: &str, connection: &Arc<Connection>, shared: &Arc<Shared>) {
     let at = now();
     let behaviour = shared.behaviour();
     let mut rest = batch;
     while let Some((line, tail)) = rest.split_once('\n') {
-        let words: Vec<&str> = line.split(' ').collect();
-        let wait_ms = words[2].strip_prefix("d=").and_then(|wait| wait.parse().ok()).unwrap_or(0);
-        let (query, next) = tail.split_at(words[3].parse().expect("a length"));
-        let id = words[0].to_string();
+        let fields: Vec<&str> = line.split(' ').collect();
+        let wait_ms = fields[2].strip_prefix("d=").and_then(|wait| wait.parse().ok()).unwrap_or(0);
+        let (query, next) =
+            tail.split_at(fields[3].parse().expect("the header states the length of the query"));
+        let id = fields[0].to_string();
         let is_executed = behaviour != Behaviour::Reject;
         Record::Received { at, node: shared.index, id: id.clone(), wait_ms, is_executed }.print();
-        let value = format!("{}/{query}", words[1]);
+        let value = format!("{}/{query}", fields[1]);
         let connection = connection.clone();
-        std::thread::spawn(move || answer(&connection, behaviour, &id, &value));
+        std::thread::spawn(move || respond(&connection, behaviour, &id, &value));
         rest = next;
     }
 }
 
-/// Works on a shard request and answers it.
-fn answer(connection: &Connection, behaviour: Behaviour, id: &str, value: &str) {
-    let work = match behaviour {
+/// Executes a shard request and responds as `behaviour` says, unless it was cancelled in the meantime.
+fn respond(connection: &Connection, behaviour: Behaviour, id: &str, value: &str) {
+    let service_time = match behaviour {
         Behaviour::Reject => 0,
-        Behaviour::Slow => SLOW_MS,
-        _ => fastrand::u64(MEAN_WORK_MS / 2..=MEAN_WORK_MS * 3 / 2),
+        Behaviour::Slow => SLOW_SERVICE_TIME_MS,
+        _ => fastrand::u64(MEAN_SERVICE_TIME_MS / 2..=MEAN_SERVICE_TIME_MS * 3 / 2),
     };
-    sleep_ms(work);
-    let is_cancelled = connection.cancelled.lock().expect("a lock").remove(id);
+    sleep_ms(service_time);
+    let is_cancelled = connection.cancelled.lock().expect("the mutex is not poisoned").remove(id);
     if is_cancelled {
         return;
     }
@@ -177,9 +178,9 @@
     }
 }
 
-fn send(mut stream: &TcpStream, letter: u8, payload: &str) {
+fn send(mut stream: &TcpStream, frame_type: u8, payload: &str) {
     let length = (payload.len() as u32 + 1).to_be_bytes();
-    let _ = stream.write_all(&[&length[..], &[letter], payload.as_bytes()].concat());
+    let _ = stream.write_all(&[&length[..], &[frame_type], payload.as_bytes()].concat());
 }
 
 /// Closes a connection with a reset.
--- a/crates/soak/src/proxy.rs
+++ b/crates/soak/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy in front of a data node: forwards bytes, or falls silent, or resets, as the run says.
+//! A TCP proxy in front of a data node, which can stall, delay or reset connections.
 
 use crate::clock::sleep_ms;
 use crate::node::reset;
@@ -8,43 +8,46 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a proxy does with connections.
+/// How a proxy forwards bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Path {
-    /// Bytes are forwarded.
+pub enum Forwarding {
+    /// Bytes are forwarded at once.
     Open,
-    /// Nothing is forwarded, and nothing is closed.
+    /// No bytes are forwarded, and no connection is closed.
     Silent,
-    /// New connections come up late.
+    /// New connections are forwarded only after a delay.
     Late,
 }
 
-const STEP_MS: u64 = 5;
-const LATE_MS: u64 = 900;
+/// Interval at which a forwarding thread checks whether its connection is to be stalled or reset.
+const POLL_INTERVAL_MS: u64 = 5;
+/// Delay of new connections under [`Forwarding::Late`].
+const LATE_CONNECT_DELAY_MS: u64 = 900;
 
 struct Shared {
     node: Mutex<SocketAddr>,
-    path: AtomicU8,
+    forwarding: AtomicU8,
+    /// Number of calls of [`Proxy::reset_all`].
     resets: AtomicU64,
 }
 
-/// A proxy with an address of its own.
+/// A proxy. Clones share its state.
 #[derive(Clone)]
 pub struct Proxy {
-    /// Where it listens.
+    /// Address at which the proxy listens.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl Proxy {
-    /// Listens in front of a node.
+    /// Starts a proxy of the node at this address.
     pub fn start(node: SocketAddr) -> Proxy {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind a port on loopback");
+        let address = listener.local_addr().expect("the address is valid");
         let shared = Arc::new(Shared {
             node: Mutex::new(node),
-            path: AtomicU8::new(Path::Open as u8),
+            forwarding: AtomicU8::new(Forwarding::Open as u8),
             resets: AtomicU64::new(0),
         });
         let served = shared.clone();
@@ -57,33 +60,33 @@
         Proxy { address, shared }
     }
 
-    /// Leads to another process from now on.
+    /// Changes the address to which new connections are forwarded.
     pub fn set_node(&self, node: SocketAddr) {
-        *self.shared.node.lock().expect("a lock") = node;
+        *self.shared.node.lock().expect("the mutex is not poisoned") = node;
     }
 
-    /// Changes what is done with connections.
-    pub fn set_path(&self, path: Path) {
-        self.shared.path.store(path as u8, Ordering::SeqCst);
+    /// Changes how bytes are forwarded.
+    pub fn set_forwarding(&self, forwarding: Forwarding) {
+        self.shared.forwarding.store(forwarding as u8, Ordering::SeqCst);
     }
 
-    /// Resets all connections.
+    /// Resets all open connections.
     pub fn reset_all(&self) {
         self.shared.resets.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 impl Shared {
-    fn is(&self, path: Path) -> bool {
-        self.path.load(Ordering::SeqCst) == path as u8
+    fn has_forwarding(&self, forwarding: Forwarding) -> bool {
+        self.forwarding.load(Ordering::SeqCst) == forwarding as u8
     }
 }
 
 fn forward_both(router: TcpStream, shared: &Arc<Shared>) {
-    if shared.is(Path::Late) {
-        sleep_ms(LATE_MS);
+    if shared.has_forwarding(Forwarding::Late) {
+        sleep_ms(LATE_CONNECT_DELAY_MS);
     }
-    let address = *shared.node.lock().expect("a lock");
+    let address = *shared.node.lock().expect("the mutex is not poisoned");
     let Ok(node) = TcpStream::connect(address) else { return reset(&router) };
     let _ = (router.set_nodelay(true), node.set_nodelay(true));
     let (Ok(router_end), Ok(node_end)) = (router.try_clone(), node.try_clone()) else { return };
@@ -93,17 +96,17 @@
     forward(router, node, shared, resets);
 }
 
-/// Forwards in one direction until an end closes or a reset is ordered.
+/// Forwards bytes in one direction until one end closes the connection or [`Proxy::reset_all`] is called.
 fn forward(mut from: TcpStream, mut to: TcpStream, shared: &Shared, resets: u64) {
-    let _ = from.set_read_timeout(Some(Duration::from_millis(STEP_MS)));
+    let _ = from.set_read_timeout(Some(Duration::from_millis(POLL_INTERVAL_MS)));
     let mut buffer = [0; 16 * 1024];
     loop {
         if shared.resets.load(Ordering::SeqCst) != resets {
             reset(&from);
             return reset(&to);
         }
-        if shared.is(Path::Silent) {
-            sleep_ms(STEP_MS);
+        if shared.has_forwarding(Forwarding::Silent) {
+            sleep_ms(POLL_INTERVAL_MS);
             continue;
         }
         match from.read(&mut buffer) {
--- a/crates/soak/src/record.rs
+++ b/crates/soak/src/record.rs
@@ -1,17 +1,20 @@
-//! What the processes of a run report. Data nodes and clients print one record a line on standard output.
+//! The records in which the processes of a run report events. Data nodes and clients print one per line on standard
+//! output.
 
 use crate::clock::Micros;
 use serde::{Deserialize, Serialize};
 use std::io::Write;
 
-/// An event of a run.
+/// An event of a run. Times are in microseconds of the monotonic clock.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Record {
-    /// A data node or a client is ready; a node states where it listens.
+    /// A data node or a client is ready. `address` is where a node listens; a client leaves it empty.
     Ready { address: String },
-    /// A data node got a shard request.
+    /// A data node received a shard request that states a remaining time of `wait_ms`. `is_executed` is false if the
+    /// node rejects it.
     Received { at: Micros, node: usize, id: String, wait_ms: i64, is_executed: bool },
-    /// A client has written the last byte of a request, `behind` another that is not answered yet.
+    /// A client has written the last byte of a request. `behind` is the pipelined request before it, which has no
+    /// response yet.
     Asked {
         at: Micros,
         router: usize,
@@ -21,24 +24,26 @@
         shards: Vec<usize>,
         behind: Option<String>,
     },
-    /// A client has read a whole answer.
+    /// A client has read a complete response.
     Answered { at: Micros, id: String, status: u16, body: String },
-    /// A connection ended before the answer to a request.
+    /// A request got no response: its connection was closed, or the client's timeout expired.
     Lost { at: Micros, id: String, is_new_connection: bool, is_timeout: bool },
-    /// A client saw its connection closed before the answer, and sends the request once more.
+    /// A reused connection was closed before the response, and the client sends the request again.
     ClosedUnanswered { at: Micros, router: usize, id: String },
-    /// A client closed its connection before the answer.
+    /// A client closed its connection before the response.
     Left { at: Micros, id: String },
-    /// A client that stopped in the middle of a request was answered or closed after this time, or gave up.
+    /// A client sent part of a request only. The router responded or closed the connection within the time `after`, or
+    /// the client's timeout expired then.
     BadClientEnded { at: Micros, router: usize, after: Micros, is_ended_by_router: bool },
-    /// Something came on a connection after the final answer.
+    /// A client received bytes on a connection after the final response.
     SentAfterAnswer { at: Micros, id: String },
-    /// A process of the run, a data node or another one, did not get to run in this time.
+    /// A process of the run was not scheduled in this period, or the machine was overloaded. `node` is its index
+    /// if the process is a data node.
     Stalled { node: Option<usize>, from: Micros, until: Micros },
 }
 
 impl Record {
-    /// The id of the query or shard request that it is about.
+    /// Returns the id of the query or shard request that the record refers to.
     pub fn id(&self) -> Option<&str> {
         match self {
             Record::Ready { .. } | Record::BadClientEnded { .. } | Record::Stalled { .. } => None,
@@ -52,9 +57,9 @@
         }
     }
 
-    /// Prints the record.
+    /// Prints the record as a line of JSON on standard output.
     pub fn print(&self) {
-        let line = serde_json::to_string(self).expect("a record is JSON");
+        let line = serde_json::to_string(self).expect("serialize a record as JSON");
         let _ = writeln!(std::io::stdout().lock(), "{line}");
     }
 }
--- a/crates/soak/src/router_process.rs
+++ b/crates/soak/src/router_process.rs
@@ -1,4 +1,5 @@
-//! A router under test: its processes one after another, its configuration file, its faults and its log.
+//! A router under test: its current process, its configuration file, its injected faults and its log. A router may have
+//! several processes one after another.
 
 use crate::clock::{MILLISECOND, Micros, SECOND, now, sleep_ms};
 use fault_control::Control;
@@ -11,57 +12,57 @@
 use std::process::{Child, Stdio};
 use std::sync::{Arc, Mutex};
 
-/// How long a router may take to be ready.
+/// Timeout for a router to become ready.
 const READY_TIMEOUT: Micros = 10 * SECOND;
 
-/// Where routers listen: below the ports that Linux gives to connections.
+/// Ports on which routers listen, below the ephemeral ports of Linux.
 const ROUTER_PORTS: Range<u16> = 12_000..32_000;
-/// How many ports are tried.
-const MAX_PORT_TRIES: usize = 100;
+/// Number of ports that are tried before the test fails.
+const MAX_PORT_ATTEMPTS: usize = 100;
 
-/// Something that befell a router's process.
+/// An event in the life of a router's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Incident {
-    /// It was started.
+pub enum RouterEvent {
+    /// The process was started.
     Started,
-    /// It was ready to serve.
+    /// The process was ready to serve requests.
     Ready,
-    /// It was told to end.
+    /// The process was sent SIGTERM for the first time.
     Terminated,
-    /// It was killed, after its time to end was over or without notice.
+    /// The process was killed, without notice or because it still ran at the end of its shutdown period.
     Killed,
-    /// It ended by itself after it had been told to.
+    /// The process exited with success after SIGTERM.
     Exited,
-    /// It ended although nobody had told it to, or not as a success.
+    /// The process ended without SIGTERM, or without success.
     Crashed,
-    /// It was not ready in time.
+    /// The process was not ready within its timeout.
     NotReady,
-    /// It was stopped for some milliseconds.
+    /// The process was stopped for this number of milliseconds.
     Paused(u64),
 }
 
-/// What a process holds.
+/// Resources that a process uses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
     /// Open file descriptors.
     pub descriptors: usize,
-    /// Resident memory.
+    /// Resident memory in kibibytes.
     pub kibibytes: usize,
 }
 
-/// A router.
+/// A router under test.
 pub struct RouterProcess {
     /// The router's index.
     pub index: usize,
-    /// Where clients connect.
+    /// Address at which the router accepts client connections.
     pub address: SocketAddr,
-    /// What its system calls are to do.
+    /// The faults that are injected into its system calls.
     pub control: Control,
-    /// The most descriptors and kibibytes of memory that were seen in use.
+    /// Highest usage among the samples.
     pub peak: Usage,
-    /// What befell it, in order.
-    pub incidents: Vec<(Micros, Incident)>,
-    /// The lines that its processes logged.
+    /// The events of its processes with their times, in order.
+    pub events: Vec<(Micros, RouterEvent)>,
+    /// The log lines of its processes.
     pub log: Arc<Mutex<Vec<String>>>,
     program: PathBuf,
     config_path: PathBuf,
@@ -69,23 +70,24 @@
     operator_path: PathBuf,
     child: Option<Child>,
     terminated: bool,
-    /// How many processes were started.
+    /// Number of processes that were started so far.
     generation: usize,
 }
 
 impl RouterProcess {
-    /// A router that has not been started.
+    /// Returns a router without a process.
     pub fn new(index: usize, program: &Path, folder: &Path, seed: u64) -> RouterProcess {
         let address = free_address();
         let control_path = folder.join(format!("router-{index}.faults"));
         let operator_path = folder.join("operator.ini");
-        std::fs::write(&operator_path, "[log]\nlevel = debug\n").expect("a file");
+        std::fs::write(&operator_path, "[log]\nlevel = debug\n").expect("write a file of the router");
         RouterProcess {
             index,
             address,
-            control: Control::create(&control_path, seed + index as u64).expect("a control file"),
+            control: Control::create(&control_path, seed + index as u64)
+                .expect("create the control file of the faults"),
             peak: Usage::default(),
-            incidents: Vec::new(),
+            events: Vec::new(),
             log: Arc::default(),
             program: program.to_path_buf(),
             config_path: folder.join(format!("router-{index}.json")),
@@ -99,18 +101,18 @@
 
     /// Writes the configuration file.
     pub fn write_config(&self, config: &Json) {
-        std::fs::write(&self.config_path, config.to_string()).expect("a file");
+        std::fs::write(&self.config_path, config.to_string()).expect("write a file of the router");
     }
 
-    /// Writes half of the configuration file, as a writer does that is interrupted.
+    /// Writes the first half of the configuration file, as an interrupted writer leaves it.
     pub fn write_half_config(&self, config: &Json) {
         let text = config.to_string();
-        std::fs::write(&self.config_path, &text[..text.len() / 2]).expect("a file");
+        std::fs::write(&self.config_path, &text[..text.len() / 2]).expect("write a file of the router");
     }
 
     /// Starts a process and waits until it is ready.
     pub fn start(&mut self) {
-        self.note(Incident::Started);
+        self.record_event(RouterEvent::Started);
         let mut child = fault_control::command(&self.program, &self.control_path)
             .args(["serve", "--config"])
             .arg(&self.config_path)
@@ -118,11 +120,11 @@
             .arg(&self.operator_path)
             .stderr(Stdio::piped())
             .spawn()
-            .expect("a process");
-        let (output, log) = (child.stderr.take().expect("a log"), self.log.clone());
+            .expect("start the router");
+        let (output, log) = (child.stderr.take().expect("standard error is piped"), self.log.clone());
         std::thread::spawn(move || {
             for line in BufReader::new(output).lines().map_while(Result::ok) {
-                log.lock().expect("a lock").push(line);
+                log.lock().expect("the mutex is not poisoned").push(line);
             }
         });
         self.child = Some(child);
@@ -131,27 +133,27 @@
         let started = now();
         while now() - started < READY_TIMEOUT {
             if self.is_ready() {
-                return self.note(Incident::Ready);
+                return self.record_event(RouterEvent::Ready);
             }
             sleep_ms(10);
         }
-        self.note(Incident::NotReady);
+        self.record_event(RouterEvent::NotReady);
     }
 
     fn is_ready(&self) -> bool {
         let Ok(mut stream) = TcpStream::connect(self.address) else { return false };
         let _ = stream.set_read_timeout(Some(std::time::Duration::from_secs(1)));
-        let mut answer = [0; 12];
+        let mut status_line = [0; 12];
         stream.write_all(b"GET /-/ready HTTP/1.1\r\nConnection: close\r\n\r\n").is_ok()
-            && stream.read_exact(&mut answer).is_ok()
-            && answer.ends_with(b"200")
+            && stream.read_exact(&mut status_line).is_ok()
+            && status_line.ends_with(b"200")
     }
 
-    fn note(&mut self, incident: Incident) {
-        self.incidents.push((now(), incident));
+    fn record_event(&mut self, event: RouterEvent) {
+        self.events.push((now(), event));
     }
 
-    /// Sends a signal, if a process runs.
+    /// Sends a signal to the process, if there is one.
     pub fn signal(&self, signal: Signal) {
         let id = self.child.as_ref().and_then(|child| Pid::from_raw(child.id() as i32));
         if let Some(id) = id {
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Notes what the process holds.
+    /// Measures the resources that the process uses and updates their peak.
     pub fn sample_usage(&mut self) {
         let Some(id) = self.child.as_ref().map(Child::id) else { return };
         let descriptors = std::fs::read_dir(format!("/proc/{id}/fd")).map_or(0, Iterator::count);
@@ -170,60 +172,60 @@
         self.peak.kibibytes = self.peak.kibibytes.max(kibibytes);
     }
 
-    /// Stops the process for a while.
+    /// Stops the process with SIGSTOP and resumes it after this time.
     pub fn pause(&mut self, milliseconds: u64) {
-        self.note(Incident::Paused(milliseconds));
+        self.record_event(RouterEvent::Paused(milliseconds));
         self.signal(Signal::STOP);
         sleep_ms(milliseconds);
         self.signal(Signal::CONT);
     }
 
-    /// The number of the last process that was started.
+    /// Returns the number of the last process that was started, counted from 1; 0 before the first.
     pub fn generation(&self) -> usize {
         self.generation
     }
 
-    /// Whether the process was told to end: until its time is over it is not killed.
+    /// Whether the process was sent SIGTERM. It is not killed before the end of its shutdown period.
     pub fn is_terminated(&self) -> bool {
         self.child.is_some() && self.terminated
     }
 
-    /// Tells the process to end.
+    /// Sends SIGTERM to the process.
     pub fn terminate(&mut self) {
         if self.child.is_some() && !self.terminated {
             self.terminated = true;
-            self.note(Incident::Terminated);
+            self.record_event(RouterEvent::Terminated);
         }
         if self.terminated {
             self.signal(Signal::TERM);
         }
     }
 
-    /// Kills the process, if it runs.
+    /// Kills the process, if there is one.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Clients notice the end before it has been waited for.
-            self.note(Incident::Killed);
+            // The event comes first, since clients see their connections closed before the wait returns.
+            self.record_event(RouterEvent::Killed);
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// Notes whether the process has ended by itself. Returns whether one runs.
-    pub fn check(&mut self) -> bool {
+    /// Returns whether a process runs. Records an event if it has ended since the last call.
+    pub fn check_running(&mut self) -> bool {
         let Some(child) = &mut self.child else { return false };
         let Ok(Some(status)) = child.try_wait() else { return true };
         self.child = None;
         let is_expected = self.terminated && status.success();
-        self.note(if is_expected { Incident::Exited } else { Incident::Crashed });
+        self.record_event(if is_expected { RouterEvent::Exited } else { RouterEvent::Crashed });
         false
     }
 
-    /// Waits for the exit of a process that was told to end, and kills it once its time is over.
-    pub fn wait_for_exit(&mut self, patience_ms: i64) {
+    /// Waits for the process to exit after SIGTERM, and kills it after this timeout.
+    pub fn wait_for_exit(&mut self, timeout_ms: i64) {
         let started = now();
-        while self.check() {
-            if now() - started > patience_ms * MILLISECOND {
+        while self.check_running() {
+            if now() - started > timeout_ms * MILLISECOND {
                 return self.kill();
             }
             sleep_ms(10);
@@ -231,11 +233,12 @@
     }
 }
 
-/// An address whose port is free, and is none that the system gives to connections: a router binds it again at each start.
+/// Returns an address whose port is free. A router binds the port again at each start, so it must not be an ephemeral
+/// port, which the system may assign to a connection in between.
 fn free_address() -> SocketAddr {
     let listen = || TcpListener::bind(("127.0.0.1", fastrand::u16(ROUTER_PORTS))).ok();
-    let listener = std::iter::repeat_with(listen).take(MAX_PORT_TRIES).flatten().next();
-    listener.and_then(|listener| listener.local_addr().ok()).expect("a free port")
+    let listener = std::iter::repeat_with(listen).take(MAX_PORT_ATTEMPTS).flatten().next();
+    listener.and_then(|listener| listener.local_addr().ok()).expect("find a free port")
 }
 
 impl Drop for RouterProcess {
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,45 +1,47 @@
-//! Troubles drawn from a seed: each is a few actions at their times, so several overlap.
+//! The schedule of disruptions, which are drawn from a seed. Each consists of a few actions at given times, and several
+//! may overlap.
 
 use crate::clock::{MILLISECOND, Micros, now};
 use crate::cluster::Cluster;
 use crate::config::longest_deadline_ms;
-use crate::discovery::Mood;
+use crate::discovery::DiscoveryMode;
 use crate::node::{BEHAVIOURS, Behaviour};
-use crate::proxy::Path;
-use crate::router_process::Incident;
+use crate::proxy::Forwarding;
+use crate::router_process::RouterEvent;
 use fastrand::Rng;
 use fault_control::{Call, Fault};
 use rustix::process::Signal;
 
-/// For how long clients still connect to a router that was told to end.
-const FRONT_DELAY_MS: i64 = 300;
-/// When a router is killed after it was told to end, beyond the longest deadline (3 s at most).
+/// How long after SIGTERM clients still connect to a router.
+const CLIENT_CLOSE_DELAY_MS: i64 = 300;
+/// A router is killed this long after SIGTERM plus the longest deadline, counted up to [`MAX_COUNTED_DEADLINE_MS`].
 const KILL_DELAY_MS: i64 = 700;
-/// The longest deadline counts as no more than this.
+/// Upper bound of the longest deadline in the time from SIGTERM to the kill.
 const MAX_COUNTED_DEADLINE_MS: i64 = 3000;
-/// When SIGTERM is sent: it comes more than once.
+/// Delays after which SIGTERM is sent. Routers have to handle repeated signals.
 const TERMINATE_DELAYS_MS: [i64; 3] = [0, 60, 250];
-/// When a reload and a look at the counters follow the first of them.
+/// How long after the first SIGTERM a reload and the output of the counters are requested.
 const SIGNAL_SPACING_MS: i64 = 120;
-/// How much later than its start a node is told at most.
-const MAX_TOLD_LATE_MS: i64 = 1500;
-/// How many nodes stay sound.
-const MIN_SOUND_NODES: usize = 2;
-/// For how long a call or a process is held up.
-const HOLD_UP_MS: u64 = 80;
+/// Upper bound of the time from the restart of a node until discovery publishes it.
+const MAX_PUBLISH_DELAY_MS: i64 = 1500;
+/// No disruption of a node begins if this number of nodes or fewer serve normally.
+const MIN_SERVING_NODES: usize = 2;
+/// How long a system call or a router's process is delayed.
+const DELAY_MS: u64 = 80;
 
-/// How long after SIGTERM a router is killed: as soon as the terms allow it.
+/// Returns how long after SIGTERM a router is killed: the shortest shutdown period that routers have to cope with.
 fn kill_delay_ms() -> i64 {
     KILL_DELAY_MS + longest_deadline_ms().min(MAX_COUNTED_DEADLINE_MS)
 }
 
-/// Something that is done to the cluster.
+/// An action on the cluster. The first number is the index of a router or of a node. Runs print the names.
 #[derive(Clone, Copy, Debug)]
 enum Action {
-    /// Tells a process to end, given by its router and its generation.
+    /// Sends SIGTERM to the process of a router with this generation, if it is the current one.
     Terminate(usize, usize),
-    /// Kills a process that was told to end and still runs.
+    /// Kills the process of a router with this generation if it still runs after SIGTERM.
     KillTerminated(usize, usize),
+    /// Makes the clients of a router open no more connections.
     CloseFront(usize),
     KillRouter(usize),
     StartRouter(usize),
@@ -48,6 +50,7 @@
     CompleteConfig(usize),
     PauseRouter(usize),
     FailCalls(usize),
+    /// Delays some of the calls by which a router sends data.
     HoldUpCalls(usize),
     ClearFaults(usize),
     StepClock(usize, i64),
@@ -60,27 +63,30 @@
     PrintCounters(usize),
     PauseNode(usize),
     ResumeNode(usize),
-    SetPath(usize, Path),
+    /// Changes how the proxy of a node forwards bytes.
+    SetPath(usize, Forwarding),
+    /// Resets the open connections through the proxy of a node.
     ResetPath(usize),
-    SetMood(Mood),
+    /// Changes how discovery responds.
+    SetMood(DiscoveryMode),
     ResetWatches,
 }
 
-/// The actions that are still to come.
+/// The actions that are due in the future, and those that were carried out.
 pub struct Schedule {
     rng: Rng,
     actions: Vec<(Micros, Action)>,
-    /// What was done, for the report.
-    pub done: Vec<(Micros, String)>,
+    /// Actions that were carried out, with their times.
+    pub history: Vec<(Micros, String)>,
 }
 
 impl Schedule {
-    /// A schedule drawn from this seed.
+    /// Returns an empty schedule whose disruptions are drawn from this seed.
     pub fn new(seed: u64) -> Schedule {
-        Schedule { rng: Rng::with_seed(seed), actions: Vec::new(), done: Vec::new() }
+        Schedule { rng: Rng::with_seed(seed), actions: Vec::new(), history: Vec::new() }
     }
 
-    /// Whether nothing is to come.
+    /// Whether no action is due in the future.
     pub fn is_empty(&self) -> bool {
         self.actions.is_empty()
     }
@@ -90,29 +96,29 @@
         self.rng.i64(1..=limit)
     }
 
-    fn after(&mut self, milliseconds: i64, action: Action) {
+    fn schedule_after(&mut self, milliseconds: i64, action: Action) {
         self.actions.push((now() + milliseconds * MILLISECOND, action));
     }
 
-    /// Carries out what is due, and follows up on routers that have ended.
+    /// Carries out the actions that are due, and restarts routers that have ended after SIGTERM.
     pub fn run_due(&mut self, cluster: &mut Cluster) {
         let at = now();
         let (due, later): (Vec<_>, Vec<_>) = self.actions.drain(..).partition(|(due, _)| *due <= at);
         self.actions = later;
         for (_, action) in due {
-            self.done.push((now(), format!("{action:?}")));
-            self.carry_out(cluster, action);
+            self.history.push((now(), format!("{action:?}")));
+            self.apply(cluster, action);
         }
         for router in 0..cluster.routers.len() {
-            let was_terminated = cluster.routers[router].incidents.last().map(|last| last.1);
-            let is_gone = !cluster.routers[router].check();
-            if is_gone && was_terminated == Some(Incident::Terminated) {
-                self.after(0, Action::StartRouter(router));
+            let last_event = cluster.routers[router].events.last().map(|last| last.1);
+            let is_gone = !cluster.routers[router].check_running();
+            if is_gone && last_event == Some(RouterEvent::Terminated) {
+                self.schedule_after(0, Action::StartRouter(router));
             }
         }
     }
 
-    fn carry_out(&mut self, cluster: &mut Cluster, action: Action) {
+    fn apply(&mut self, cluster: &mut Cluster, action: Action) {
         match action {
             Action::Terminate(router, generation) => {
                 if cluster.routers[router].generation() == generation {
@@ -121,36 +127,36 @@
             }
             Action::KillTerminated(router, generation) => {
                 if cluster.routers[router].generation() == generation {
-                    cluster.tell_clients(router, "closed");
+                    cluster.send_to_clients(router, "closed");
                     cluster.routers[router].kill();
                 }
             }
-            Action::CloseFront(router) => cluster.tell_clients(router, "closed"),
-            // A kill without notice is no kill after SIGTERM, which has its time.
+            Action::CloseFront(router) => cluster.send_to_clients(router, "closed"),
+            // A router that was sent SIGTERM is killed by `KillTerminated` only, after its shutdown period.
             Action::KillRouter(router) if cluster.routers[router].is_terminated() => {}
             Action::KillRouter(router) => {
-                cluster.tell_clients(router, "closed");
+                cluster.send_to_clients(router, "closed");
                 cluster.routers[router].kill();
             }
             Action::StartRouter(router) => {
-                if !cluster.routers[router].check() {
+                if !cluster.routers[router].check_running() {
                     cluster.start_router(router);
                 }
             }
             Action::Reload(router) => cluster.reload_router(router),
             Action::ReloadHalfConfig(router) => cluster.reload_half_config(router),
             Action::CompleteConfig(router) => cluster.complete_config(router),
-            Action::PauseRouter(router) => cluster.pause_router(router, HOLD_UP_MS),
-            Action::FailCalls(router) => fail_calls(cluster, router),
+            Action::PauseRouter(router) => cluster.pause_router(router, DELAY_MS),
+            Action::FailCalls(router) => inject_call_errors(cluster, router),
             Action::HoldUpCalls(router) => {
-                cluster.set_router_held(router, true);
+                cluster.set_router_delayed(router, true);
                 let control = &cluster.routers[router].control;
-                control.set_delay_ms(HOLD_UP_MS);
+                control.set_delay_ms(DELAY_MS);
                 control.set_rate(Call::Send, 5, &[Fault::Delay]);
             }
             Action::ClearFaults(router) => {
                 cluster.routers[router].control.clear();
-                cluster.set_router_held(router, false);
+                cluster.set_router_delayed(router, false);
             }
             Action::StepClock(router, shift) => {
                 cluster.routers[router].control.set_wall_clock_shift_ms(shift)
@@ -163,158 +169,159 @@
             Action::PublishReady(node) => cluster.publish(node, "ready"),
             Action::PrintCounters(router) => cluster.routers[router].signal(Signal::USR1),
             Action::PauseNode(node) => {
-                cluster.set_held(node, true);
+                cluster.set_node_delayed(node, true);
                 cluster.signal_node(node, Signal::STOP);
             }
             Action::ResumeNode(node) => {
                 cluster.signal_node(node, Signal::CONT);
-                cluster.set_held(node, false);
+                cluster.set_node_delayed(node, false);
             }
-            Action::SetPath(node, path) => {
-                cluster.set_held(node, path != Path::Open);
-                cluster.nodes[node].proxy.set_path(path);
+            Action::SetPath(node, forwarding) => {
+                cluster.set_node_delayed(node, forwarding != Forwarding::Open);
+                cluster.nodes[node].proxy.set_forwarding(forwarding);
             }
             Action::ResetPath(node) => cluster.nodes[node].proxy.reset_all(),
-            Action::SetMood(mood) => cluster.set_mood(mood),
+            Action::SetMood(mode) => cluster.set_discovery_mode(mode),
             Action::ResetWatches => cluster.discovery.reset_watches(),
         }
     }
 
-    /// Draws a trouble and schedules its actions.
-    pub fn add_trouble(&mut self, cluster: &Cluster) {
+    /// Draws a disruption and schedules its actions.
+    pub fn add_disruption(&mut self, cluster: &Cluster) {
         let duration = self.rng.i64(800..3000);
         match self.rng.u32(0..10) {
-            0..=2 => self.add_router_trouble(cluster, duration),
-            3 => self.add_discovery_trouble(duration),
-            4 => self.add_fault_trouble(cluster, duration),
-            _ => self.add_node_trouble(cluster, duration),
+            0..=2 => self.add_router_disruption(cluster, duration),
+            3 => self.add_discovery_disruption(duration),
+            4 => self.add_fault_disruption(cluster, duration),
+            _ => self.add_node_disruption(cluster, duration),
         }
     }
 
-    fn add_router_trouble(&mut self, cluster: &Cluster, duration: i64) {
+    fn add_router_disruption(&mut self, cluster: &Cluster, duration: i64) {
         let router = self.rng.usize(..cluster.routers.len());
-        let runs = matches!(
-            cluster.routers[router].incidents.last(),
-            Some((_, Incident::Ready | Incident::Paused(_)))
+        let is_running = matches!(
+            cluster.routers[router].events.last(),
+            Some((_, RouterEvent::Ready | RouterEvent::Paused(_)))
         );
-        if !runs {
+        if !is_running {
             return;
         }
         match self.rng.u32(0..6) {
             0 | 1 => {
                 let generation = cluster.routers[router].generation();
                 for delay in TERMINATE_DELAYS_MS {
-                    self.after(delay, Action::Terminate(router, generation));
+                    self.schedule_after(delay, Action::Terminate(router, generation));
                 }
                 if self.rng.u32(0..3) == 0 {
                     self.hang_all_nodes(cluster, kill_delay_ms());
                 }
-                self.after(SIGNAL_SPACING_MS, Action::Reload(router));
-                self.after(SIGNAL_SPACING_MS, Action::PrintCounters(router));
-                self.after(FRONT_DELAY_MS, Action::CloseFront(router));
-                self.after(kill_delay_ms(), Action::KillTerminated(router, generation));
-                self.after(kill_delay_ms() + 50, Action::StartRouter(router));
+                self.schedule_after(SIGNAL_SPACING_MS, Action::Reload(router));
+                self.schedule_after(SIGNAL_SPACING_MS, Action::PrintCounters(router));
+                self.schedule_after(CLIENT_CLOSE_DELAY_MS, Action::CloseFront(router));
+                self.schedule_after(kill_delay_ms(), Action::KillTerminated(router, generation));
+                self.schedule_after(kill_delay_ms() + 50, Action::StartRouter(router));
             }
             2 => {
-                self.after(0, Action::KillRouter(router));
-                self.after(400, Action::StartRouter(router));
+                self.schedule_after(0, Action::KillRouter(router));
+                self.schedule_after(400, Action::StartRouter(router));
             }
             3 => {
                 for reload in 0..3 {
-                    self.after(reload * 120, Action::Reload(router));
+                    self.schedule_after(reload * 120, Action::Reload(router));
                 }
             }
             4 => {
-                self.after(0, Action::ReloadHalfConfig(router));
-                self.after(250, Action::CompleteConfig(router));
+                self.schedule_after(0, Action::ReloadHalfConfig(router));
+                self.schedule_after(250, Action::CompleteConfig(router));
             }
             _ => {
-                self.after(0, Action::PauseRouter(router));
-                self.after(duration, Action::PauseRouter(router));
+                self.schedule_after(0, Action::PauseRouter(router));
+                self.schedule_after(duration, Action::PauseRouter(router));
             }
         }
     }
 
-    fn add_discovery_trouble(&mut self, duration: i64) {
+    fn add_discovery_disruption(&mut self, duration: i64) {
         match self.rng.u32(0..4) {
-            0 => self.after(0, Action::ResetWatches),
-            mood => {
-                let mood = [Mood::Down, Mood::Silent, Mood::Slow][mood as usize - 1];
-                self.after(0, Action::SetMood(mood));
-                self.after(2 * duration, Action::SetMood(Mood::Well));
+            0 => self.schedule_after(0, Action::ResetWatches),
+            mode => {
+                let mode =
+                    [DiscoveryMode::Down, DiscoveryMode::Silent, DiscoveryMode::Slow][mode as usize - 1];
+                self.schedule_after(0, Action::SetMood(mode));
+                self.schedule_after(2 * duration, Action::SetMood(DiscoveryMode::Well));
             }
         }
     }
 
-    fn add_fault_trouble(&mut self, cluster: &Cluster, duration: i64) {
+    fn add_fault_disruption(&mut self, cluster: &Cluster, duration: i64) {
         let router = self.rng.usize(..cluster.routers.len());
         match self.rng.u32(0..4) {
-            0 | 1 => self.after(0, Action::FailCalls(router)),
-            2 => self.after(0, Action::HoldUpCalls(router)),
+            0 | 1 => self.schedule_after(0, Action::FailCalls(router)),
+            2 => self.schedule_after(0, Action::HoldUpCalls(router)),
             _ => {
                 let shift = *self.rng.choice(&[3_600_000, -3_600_000, 5_000, -5_000]).unwrap_or(&0);
-                self.after(0, Action::StepClock(router, shift));
-                self.after(duration, Action::StepClock(router, 0));
+                self.schedule_after(0, Action::StepClock(router, shift));
+                self.schedule_after(duration, Action::StepClock(router, 0));
             }
         }
-        self.after(duration, Action::ClearFaults(router));
+        self.schedule_after(duration, Action::ClearFaults(router));
     }
 
-    fn add_node_trouble(&mut self, cluster: &Cluster, duration: i64) {
-        let sound = cluster.sound_nodes();
-        if sound.len() <= MIN_SOUND_NODES {
+    fn add_node_disruption(&mut self, cluster: &Cluster, duration: i64) {
+        let serving = cluster.serving_nodes();
+        if serving.len() <= MIN_SERVING_NODES {
             return;
         }
-        let node = sound[self.rng.usize(..sound.len())];
+        let node = serving[self.rng.usize(..serving.len())];
         match self.rng.u32(0..8) {
             0 | 1 => {
-                self.after(0, Action::Drain(node));
-                self.after(duration, Action::Remove(node));
-                self.after(duration + 50, Action::KillNode(node));
+                self.schedule_after(0, Action::Drain(node));
+                self.schedule_after(duration, Action::Remove(node));
+                self.schedule_after(duration + 50, Action::KillNode(node));
                 self.restart_after(duration + 600, node);
             }
             2 => {
-                self.after(0, Action::KillNode(node));
+                self.schedule_after(0, Action::KillNode(node));
                 self.restart_after(duration, node);
             }
             3 => {
-                self.after(0, Action::PauseNode(node));
-                self.after(duration, Action::ResumeNode(node));
+                self.schedule_after(0, Action::PauseNode(node));
+                self.schedule_after(duration, Action::ResumeNode(node));
             }
             4 => {
-                let path = if self.rng.bool() { Path::Silent } else { Path::Late };
-                self.after(0, Action::SetPath(node, path));
-                self.after(duration, Action::SetPath(node, Path::Open));
+                let forwarding = if self.rng.bool() { Forwarding::Silent } else { Forwarding::Late };
+                self.schedule_after(0, Action::SetPath(node, forwarding));
+                self.schedule_after(duration, Action::SetPath(node, Forwarding::Open));
             }
-            5 => self.after(0, Action::ResetPath(node)),
+            5 => self.schedule_after(0, Action::ResetPath(node)),
             _ => {
                 let behaviour = BEHAVIOURS[self.rng.usize(1..BEHAVIOURS.len())];
-                self.after(0, Action::SetBehaviour(node, behaviour));
-                self.after(duration, Action::SetBehaviour(node, Behaviour::Serve));
+                self.schedule_after(0, Action::SetBehaviour(node, behaviour));
+                self.schedule_after(duration, Action::SetBehaviour(node, Behaviour::Serve));
             }
         }
     }
 }
 
 impl Schedule {
-    /// Has all nodes that behave well hang for a while.
+    /// Makes all nodes that serve normally hang for this time.
     fn hang_all_nodes(&mut self, cluster: &Cluster, milliseconds: i64) {
-        for node in cluster.sound_nodes() {
-            self.after(0, Action::SetBehaviour(node, Behaviour::Hang));
-            self.after(milliseconds, Action::SetBehaviour(node, Behaviour::Serve));
+        for node in cluster.serving_nodes() {
+            self.schedule_after(0, Action::SetBehaviour(node, Behaviour::Hang));
+            self.schedule_after(milliseconds, Action::SetBehaviour(node, Behaviour::Serve));
         }
     }
 
-    /// Restarts a node, which is told at once or late.
+    /// Restarts a node after this time; discovery publishes it at once or after a further delay.
     fn restart_after(&mut self, milliseconds: i64, node: usize) {
-        let told_late = if self.rng.bool() { self.rng.i64(100..MAX_TOLD_LATE_MS) } else { 0 };
-        self.after(milliseconds, Action::RestartNode(node));
-        self.after(milliseconds + told_late, Action::PublishReady(node));
+        let publish_delay = if self.rng.bool() { self.rng.i64(100..MAX_PUBLISH_DELAY_MS) } else { 0 };
+        self.schedule_after(milliseconds, Action::RestartNode(node));
+        self.schedule_after(milliseconds + publish_delay, Action::PublishReady(node));
     }
 }
 
-/// Has system calls of a router fail in ways that pass.
-fn fail_calls(cluster: &Cluster, router: usize) {
+/// Makes system calls of a router fail with transient errors.
+fn inject_call_errors(cluster: &Cluster, router: usize) {
     let control = &cluster.routers[router].control;
     let transfers =
         [Fault::Short, Fault::Error(libc::EINTR), Fault::Error(libc::ENOBUFS), Fault::Error(libc::ENOMEM)];
