--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control file of the library `fault-shim`: what a test asks it to do to a process, and what it has done. Both sides
-//! map the file, so changes take effect at once.
+//! The control file of the library `fault-shim`: the faults that a test injects into a process, and the numbers of
+//! injected faults. The test and the process both map the file into memory, so changes take effect at once.
 
 #![warn(missing_docs)]
 
@@ -13,17 +13,17 @@
 /// The environment variable that names the control file.
 pub const CONTROL_VARIABLE: &str = "FAULT_SHIM_CONTROL";
 
-/// Whether the library can inject faults on this kind of machine.
+/// Whether the library can inject faults on this platform; true only for Linux on x86-64.
 pub const IS_SUPPORTED: bool = cfg!(all(target_os = "linux", target_arch = "x86_64"));
 
-/// How many faults one call may choose from.
+/// The largest number of different faults that one group of calls can be given.
 const MAX_FAULTS: usize = 8;
-/// The code of a fault that is no error number: the call does less than it was asked to.
+/// The code of [`Fault::Short`] in the control file, where other codes are error numbers.
 const SHORT_CODE: u32 = u32::MAX;
-/// The code of a fault that is no error number: the call is held up first.
+/// The code of [`Fault::Delay`] in the control file.
 const DELAY_CODE: u32 = u32::MAX - 1;
 
-/// A group of system calls that can be made to fail.
+/// A group of system calls into which faults can be injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Call {
@@ -33,17 +33,17 @@
     Socket,
     /// `connect`.
     Connect,
-    /// `read`, `recvfrom` and their relatives on a socket, where bytes are taken.
+    /// `read`, `readv`, `recvfrom` and `recvmsg` on a socket, where they consume the bytes.
     Receive,
-    /// `recvfrom` with `MSG_PEEK`.
+    /// `recvfrom` with `MSG_PEEK`, which leaves the bytes in the socket.
     Peek,
     /// `write`, `writev`, `sendto` and `sendmsg` on a socket.
     Send,
-    /// `read` on a descriptor of the event loop, such as that of signals.
+    /// `read` on an anonymous inode, such as the `signalfd` of the event loop.
     ReadSignal,
-    /// `epoll_wait` and its relatives.
+    /// `epoll_wait` and `epoll_pwait`.
     Wait,
-    /// `epoll_ctl` that adds a descriptor.
+    /// `epoll_ctl` with `EPOLL_CTL_ADD`.
     Register,
     /// `getsockopt` and `setsockopt`.
     SocketOption,
@@ -55,14 +55,14 @@
 
 const CALLS: usize = Call::Open as usize + 1;
 
-/// What happens to a call that is chosen.
+/// A fault that is injected into a system call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// It fails with this error number and has no effect.
+    /// The call fails with this `errno` value and has no effect.
     Error(i32),
-    /// It transfers one byte at most.
+    /// The call transfers at most one byte.
     Short,
-    /// It is held up for [`Control::set_delay_ms`] first.
+    /// The call is delayed by the time set with [`Control::set_delay_ms`] and then executed.
     Delay,
 }
 
@@ -87,11 +87,13 @@
 
 #[repr(C)]
 struct CallPlan {
-    /// How many of a thousand calls get a fault.
+    /// The share of calls that get a fault, in thousandths.
     per_mille: AtomicU32,
-    /// How many of the next calls get the first fault, whatever the rate.
+    /// The number of next calls that get the first fault regardless of the rate.
     next_calls: AtomicU32,
+    /// The codes of the faults to choose from, followed by zeros.
     faults: [AtomicU32; MAX_FAULTS],
+    /// The number of faults injected.
     injected: AtomicU64,
 }
 
@@ -103,22 +105,22 @@
     calls: [CallPlan; CALLS],
 }
 
-/// A mapped control file.
+/// A control file that is mapped into memory.
 pub struct Control {
     layout: *const Layout,
 }
 
-// SAFETY: the mapping lives until the value is dropped and consists of atomics.
+// SAFETY: the mapping consists of atomics and lives until the value is dropped.
 unsafe impl Send for Control {}
 // SAFETY: as above.
 unsafe impl Sync for Control {}
 
 impl Control {
-    /// Creates a file that asks for nothing yet; `seed` determines which calls are chosen.
+    /// Creates a control file without faults; `seed` determines which calls get a fault once a rate is set.
     ///
     /// # Errors
     ///
-    /// The system's error if the file cannot be created or mapped.
+    /// The operating system's error if the file cannot be created or mapped.
     pub fn create(path: &Path, seed: u64) -> io::Result<Control> {
         let file = OpenOptions::new().create(true).truncate(true).read(true).write(true).open(path)?;
         file.set_len(size_of::<Layout>() as u64)?;
@@ -127,18 +129,18 @@
         Ok(control)
     }
 
-    /// Maps a file that [`Control::create`] made.
+    /// Maps a control file that [`Control::create`] created.
     ///
     /// # Errors
     ///
-    /// The system's error if the file cannot be opened or mapped.
+    /// The operating system's error if the file cannot be opened or mapped; `UnexpectedEof` if the file is too short.
     pub fn open(path: &Path) -> io::Result<Control> {
         let file = OpenOptions::new().read(true).write(true).open(path)?;
         if file.metadata()?.len() < size_of::<Layout>() as u64 {
             return Err(io::Error::from(io::ErrorKind::UnexpectedEof));
         }
         let protection = libc::PROT_READ | libc::PROT_WRITE;
-        // SAFETY: a new mapping of a file that is long enough.
+        // SAFETY: creates a new mapping of a file that is at least as long as the mapping.
         let address = unsafe {
             libc::mmap(
                 std::ptr::null_mut(),
@@ -156,7 +158,7 @@
     }
 
     fn layout(&self) -> &Layout {
-        // SAFETY: the mapping is long enough, aligned to a page, and lives as long as `self`.
+        // SAFETY: the mapping is as large as `Layout`, page-aligned, and lives as long as `self`.
         unsafe { &*self.layout }
     }
 
@@ -164,7 +166,8 @@
         &self.layout().calls[call as usize]
     }
 
-    /// Has a share of the calls fail in one of these ways; no share or no way ends it.
+    /// Injects one of `faults`, chosen at random, into `per_mille` thousandths of the group's calls. A rate of 0 or
+    /// an empty slice stops the injection.
     pub fn set_rate(&self, call: Call, per_mille: u32, faults: &[Fault]) {
         let plan = self.plan(call);
         plan.per_mille.store(0, Ordering::SeqCst);
@@ -172,7 +175,8 @@
         plan.per_mille.store(per_mille, Ordering::SeqCst);
     }
 
-    /// Has the next calls fail in this way.
+    /// Injects `fault` into the group's next `count` calls. Also replaces the faults that
+    /// [`Control::set_rate`] set.
     pub fn fail_next(&self, call: Call, count: u32, fault: Fault) {
         self.set_faults(call, &[fault]);
         self.plan(call).next_calls.store(count, Ordering::SeqCst);
@@ -184,7 +188,7 @@
         }
     }
 
-    /// Ends all faults; the wall clock stays as it is.
+    /// Stops the injection of faults into all groups; the shift of the wall clock stays.
     pub fn clear(&self) {
         for plan in &self.layout().calls {
             plan.per_mille.store(0, Ordering::SeqCst);
@@ -192,57 +196,59 @@
         }
     }
 
-    /// For how long a delayed call is held up.
+    /// Sets the delay of [`Fault::Delay`] in milliseconds.
     pub fn set_delay_ms(&self, delay: u64) {
         self.layout().delay_ms.store(delay, Ordering::SeqCst);
     }
 
-    /// The delay that [`Control::set_delay_ms`] set.
+    /// The delay of [`Fault::Delay`] in milliseconds; 0 until it is set.
     pub fn delay_ms(&self) -> u64 {
         self.layout().delay_ms.load(Ordering::SeqCst)
     }
 
-    /// Shifts the wall clock against the true time; monotonic time runs on.
+    /// Shifts the wall clock of the process by `shift` milliseconds against the system's; monotonic clocks are
+    /// unaffected.
     pub fn set_wall_clock_shift_ms(&self, shift: i64) {
         self.layout().wall_clock_shift_ms.store(shift, Ordering::SeqCst);
     }
 
-    /// The shift that [`Control::set_wall_clock_shift_ms`] set.
+    /// The shift of the wall clock in milliseconds; 0 until it is set.
     pub fn wall_clock_shift_ms(&self) -> i64 {
         self.layout().wall_clock_shift_ms.load(Ordering::SeqCst)
     }
 
-    /// How many calls of a group got a fault.
+    /// Returns the number of faults injected into the group's calls.
     pub fn injected(&self, call: Call) -> u64 {
         self.plan(call).injected.load(Ordering::SeqCst)
     }
 
-    /// How many calls of all groups got a fault.
+    /// Returns the number of faults injected into calls of all groups.
     pub fn injected_in_all(&self) -> u64 {
         self.layout().calls.iter().map(|plan| plan.injected.load(Ordering::SeqCst)).sum()
     }
 
-    /// Decides what happens to the next call of a group. Used by the library; allocates nothing.
-    pub fn draw(&self, call: Call) -> Option<Fault> {
+    /// Chooses the fault of the group's next call; `None` if the call is executed unchanged. Called in the library's
+    /// signal handler, so it does not allocate.
+    pub fn choose_fault(&self, call: Call) -> Option<Fault> {
         let plan = self.plan(call);
-        let take_one = |left: u32| left.checked_sub(1);
-        let is_next = plan.next_calls.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take_one).is_ok();
+        let take_one = |remaining: u32| remaining.checked_sub(1);
+        let is_forced = plan.next_calls.fetch_update(Ordering::SeqCst, Ordering::SeqCst, take_one).is_ok();
         let per_mille = plan.per_mille.load(Ordering::Relaxed);
-        if !is_next && (per_mille == 0 || self.random() % 1000 >= u64::from(per_mille)) {
+        if !is_forced && (per_mille == 0 || self.next_random() % 1000 >= u64::from(per_mille)) {
             return None;
         }
         let count = plan.faults.iter().filter(|code| code.load(Ordering::Relaxed) != 0).count();
         if count == 0 {
             return None;
         }
-        let index = if is_next { 0 } else { self.random() as usize % count };
+        let index = if is_forced { 0 } else { self.next_random() as usize % count };
         let fault = Fault::from_code(plan.faults[index].load(Ordering::Relaxed))?;
         plan.injected.fetch_add(1, Ordering::Relaxed);
         Some(fault)
     }
 
-    /// The next random number (splitmix64).
-    fn random(&self) -> u64 {
+    /// Returns the next random number (splitmix64).
+    fn next_random(&self) -> u64 {
         const STEP: u64 = 0x9e37_79b9_7f4a_7c15;
         let mut value = self.layout().random_state.fetch_add(STEP, Ordering::Relaxed).wrapping_add(STEP);
         value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -253,27 +259,27 @@
 
 impl Drop for Control {
     fn drop(&mut self) {
-        // SAFETY: the mapping was made by `open` and is not used any more.
+        // SAFETY: the mapping was created by `open` with this size and is not used after the drop.
         unsafe { libc::munmap(self.layout.cast_mut().cast(), size_of::<Layout>()) };
     }
 }
 
-/// The command that starts `program` under the library with this control file.
+/// Returns the command that starts `program` with the library preloaded and this control file.
 ///
 /// # Panics
 ///
-/// If the library was not built beside the running program.
+/// If the library is not found beside the running program, that is, if `fault-shim` was not built.
 pub fn command(program: &Path, control_file: &Path) -> Command {
     let mut command = Command::new(program);
     command.env("LD_PRELOAD", library_path()).env(CONTROL_VARIABLE, control_file);
     command
 }
 
-/// The library, which Cargo builds beside the running program or in the folder above it.
+/// Returns the path of the library, which Cargo builds in the folder of the running program or the one above it.
 fn library_path() -> PathBuf {
     const FILE_NAME: &str = "libfault_shim.so";
-    let program = std::env::current_exe().expect("the path of this program");
+    let program = std::env::current_exe().expect("the path of the running program is available");
     let folders = program.ancestors().skip(1).take(2);
     let candidates = folders.flat_map(|folder| [folder.join("deps").join(FILE_NAME), folder.join(FILE_NAME)]);
-    candidates.into_iter().find(|path| path.exists()).expect("the library fault-shim is built")
+    candidates.into_iter().find(|path| path.exists()).expect("libfault_shim.so is built beside this program")
 }
--- a/crates/fault-shim/src/handler.rs
+++ b/crates/fault-shim/src/handler.rs
@@ -1,11 +1,11 @@
-//! The handler of SIGSYS: fails a filtered call, shortens it, holds it up, or carries it out.
+//! The handler of SIGSYS, which fails, shortens or delays a filtered system call, or executes it unchanged.
 
 use crate::raw_call::raw_call;
 use fault_control::{Call, Control, Fault};
 use libc::{c_int, c_long, c_void, siginfo_t, ucontext_t};
 use std::sync::atomic::{AtomicPtr, Ordering};
 
-/// The calls that raise SIGSYS.
+/// The system calls that raise SIGSYS.
 pub const FILTERED_CALLS: [c_long; 20] = [
     libc::SYS_read,
     libc::SYS_write,
@@ -31,10 +31,10 @@
 
 static CONTROL: AtomicPtr<Control> = AtomicPtr::new(std::ptr::null_mut());
 
-/// Handles SIGSYS as the control file says.
+/// Installs the handler of SIGSYS, which injects the faults that the control file sets.
 pub fn install(control: &'static Control) {
     CONTROL.store(std::ptr::from_ref(control).cast_mut(), Ordering::SeqCst);
-    // SAFETY: the action is set up in full; the handler allocates nothing.
+    // SAFETY: the action is fully initialized, and the handler does not allocate.
     let installed = unsafe {
         let mut action: libc::sigaction = std::mem::zeroed();
         action.sa_sigaction = handle as *const () as usize;
@@ -47,7 +47,7 @@
 }
 
 extern "C" fn handle(_signal: c_int, _info: *mut siginfo_t, context: *mut c_void) {
-    // SAFETY: the kernel passes the context of the interrupted thread; the control file is never unmapped.
+    // SAFETY: the kernel passes a valid context of the interrupted thread, and the control file is never unmapped.
     let (registers, control) = unsafe {
         let context = &mut *context.cast::<ucontext_t>();
         (&mut context.uc_mcontext.gregs, &*CONTROL.load(Ordering::SeqCst))
@@ -55,23 +55,23 @@
     let number = registers[libc::REG_RAX as usize];
     let arguments = [libc::REG_RDI, libc::REG_RSI, libc::REG_RDX, libc::REG_R10, libc::REG_R8, libc::REG_R9]
         .map(|register| registers[register as usize]);
-    registers[libc::REG_RAX as usize] = carry_out(control, number, arguments);
+    registers[libc::REG_RAX as usize] = execute_call(control, number, arguments);
 }
 
-fn carry_out(control: &Control, number: c_long, arguments: [i64; 6]) -> i64 {
-    let fault = group(number, &arguments).and_then(|call| control.draw(call));
+fn execute_call(control: &Control, number: c_long, arguments: [i64; 6]) -> i64 {
+    let fault = call_group(number, &arguments).and_then(|call| control.choose_fault(call));
     match fault {
         Some(Fault::Error(error)) => return -i64::from(error),
-        Some(Fault::Short) => return shorten(number, arguments),
-        Some(Fault::Delay) => pause(control.delay_ms()),
+        Some(Fault::Short) => return execute_short_call(number, arguments),
+        Some(Fault::Delay) => sleep_ms(control.delay_ms()),
         None => {}
     }
-    // SAFETY: these are the arguments of the process under test.
+    // SAFETY: the arguments are those that the process under test passed.
     unsafe { raw_call(number, arguments) }
 }
 
-/// The group of a call, `None` if it gets no fault.
-fn group(number: c_long, arguments: &[i64; 6]) -> Option<Call> {
+/// Returns the group of a call; `None` if no fault can be injected into the call.
+fn call_group(number: c_long, arguments: &[i64; 6]) -> Option<Call> {
     let descriptor = arguments[0];
     Some(match number {
         libc::SYS_accept | libc::SYS_accept4 => Call::Accept,
@@ -80,7 +80,7 @@
         libc::SYS_recvfrom if arguments[3] & i64::from(libc::MSG_PEEK) != 0 => Call::Peek,
         libc::SYS_recvfrom | libc::SYS_recvmsg => Call::Receive,
         libc::SYS_read | libc::SYS_readv if is_socket(descriptor) => Call::Receive,
-        libc::SYS_read if is_anonymous(descriptor) => Call::ReadSignal,
+        libc::SYS_read if is_anonymous_inode(descriptor) => Call::ReadSignal,
         libc::SYS_sendto | libc::SYS_sendmsg => Call::Send,
         libc::SYS_write | libc::SYS_writev if is_socket(descriptor) => Call::Send,
         libc::SYS_epoll_wait | libc::SYS_epoll_pwait => Call::Wait,
@@ -92,9 +92,10 @@
     })
 }
 
-/// The type bits of a descriptor's mode; 0 for a descriptor of the kernel's own, such as that of signals.
+/// Returns the file type bits (`S_IFMT`) of a descriptor: 0 for an anonymous inode, such as a `signalfd`; `None` if
+/// `fstat` fails.
 fn file_type(descriptor: i64) -> Option<u32> {
-    // SAFETY: a zeroed `stat` is valid, and the call fills it in.
+    // SAFETY: a zeroed `stat` is valid, and the call writes to it.
     unsafe {
         let mut stat: libc::stat = std::mem::zeroed();
         let arguments = [descriptor, &raw mut stat as i64, 0, 0, 0, 0];
@@ -106,41 +107,41 @@
     file_type(descriptor) == Some(libc::S_IFSOCK)
 }
 
-fn is_anonymous(descriptor: i64) -> bool {
+fn is_anonymous_inode(descriptor: i64) -> bool {
     file_type(descriptor) == Some(0)
 }
 
-/// Carries out a transfer for one byte at most. Calls that transfer nothing are carried out as they are.
-fn shorten(number: c_long, mut arguments: [i64; 6]) -> i64 {
+/// Executes a transfer for at most one byte. Calls of other kinds, `recvmsg` and `sendmsg` are executed unchanged.
+fn execute_short_call(number: c_long, mut arguments: [i64; 6]) -> i64 {
     match number {
         libc::SYS_read | libc::SYS_write | libc::SYS_recvfrom | libc::SYS_sendto => {
             arguments[2] = arguments[2].min(1);
-            // SAFETY: fewer bytes of the buffer of the process under test.
+            // SAFETY: the buffer is that of the process under test, with the same or a smaller length.
             unsafe { raw_call(number, arguments) }
         }
         libc::SYS_writev | libc::SYS_readv => {
-            // SAFETY: the process under test passes this many valid vectors.
+            // SAFETY: the process under test passed this many valid `iovec` values.
             let vectors = unsafe {
                 std::slice::from_raw_parts(arguments[1] as *const libc::iovec, arguments[2].max(0) as usize)
             };
             let Some(first) = vectors.iter().find(|vector| vector.iov_len > 0) else {
-                // SAFETY: the arguments of the process under test.
+                // SAFETY: the arguments are those that the process under test passed.
                 return unsafe { raw_call(number, arguments) };
             };
-            let single = if number == libc::SYS_writev { libc::SYS_write } else { libc::SYS_read };
-            // SAFETY: the first byte of a vector of the process under test.
-            unsafe { raw_call(single, [arguments[0], first.iov_base as i64, 1, 0, 0, 0]) }
+            let scalar_call = if number == libc::SYS_writev { libc::SYS_write } else { libc::SYS_read };
+            // SAFETY: the address is that of the first byte of a non-empty buffer of the process under test.
+            unsafe { raw_call(scalar_call, [arguments[0], first.iov_base as i64, 1, 0, 0, 0]) }
         }
-        // SAFETY: the arguments of the process under test.
+        // SAFETY: the arguments are those that the process under test passed.
         _ => unsafe { raw_call(number, arguments) },
     }
 }
 
-fn pause(milliseconds: u64) {
+fn sleep_ms(milliseconds: u64) {
     let time = libc::timespec {
         tv_sec: (milliseconds / 1000) as i64,
         tv_nsec: (milliseconds % 1000 * 1_000_000) as i64,
     };
-    // SAFETY: the time lives until the call returns.
+    // SAFETY: `time` lives until the call returns.
     unsafe { raw_call(libc::SYS_nanosleep, [&raw const time as i64, 0, 0, 0, 0, 0]) };
 }
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,13 +1,14 @@
-//! Makes system calls of a process under test fail, return less than was asked for, or take long, and shifts or steps
-//! its wall clock. The process is started with this library in `LD_PRELOAD` and a control file in
-//! [`CONTROL_VARIABLE`](fault_control::CONTROL_VARIABLE); the test changes the file while the process runs
-//! ([`fault_control::Control`]).
+//! Makes system calls of a process under test fail, transfer fewer bytes than requested, or take longer, and shifts
+//! its wall clock. The process is started with this library in `LD_PRELOAD` and the path of a control file in
+//! [`CONTROL_VARIABLE`](fault_control::CONTROL_VARIABLE); the test changes the file through
+//! [`fault_control::Control`] while the process runs.
 //!
-//! At load time the library installs a system-call filter on its own process, without special rights: the filtered calls
-//! raise SIGSYS, whose handler either fails the call or carries it out from the one address that the filter lets
-//! through. Calls that bypass the C library are covered as well. Without the variable the library does nothing.
+//! At load time the library installs a seccomp filter on its own process, which needs no privileges. The filtered calls
+//! raise SIGSYS, whose handler either fails the call or executes it from the one address that the filter allows. This
+//! also covers calls that bypass the C library. If the variable is not set, the library does nothing.
 //!
-//! Only x86-64 is supported. On other machines the library loads and does nothing, and [`IS_SUPPORTED`](fault_control::IS_SUPPORTED) says so.
+//! Only Linux on x86-64 is supported. On other platforms the library loads and does nothing, and
+//! [`IS_SUPPORTED`](fault_control::IS_SUPPORTED) is false.
 
 #![warn(missing_docs)]
 
@@ -23,7 +24,7 @@
 #[cfg(all(target_os = "linux", target_arch = "x86_64"))]
 use fault_control::Control;
 
-/// Run by the dynamic linker when the library, or a program that contains it, is loaded.
+/// Makes the dynamic linker run [`initialize`] when it loads the library or a program that links the library.
 #[cfg(all(target_os = "linux", target_arch = "x86_64"))]
 #[used]
 #[unsafe(link_section = ".init_array")]
@@ -40,7 +41,7 @@
             filter::install();
         }
         Err(error) => {
-            eprintln!("fault-shim: {}: {error}", path.to_string_lossy());
+            eprintln!("fault-shim: cannot map the control file {}: {error}", path.to_string_lossy());
             std::process::abort();
         }
     }
--- a/crates/fault-shim/src/raw_call.rs
+++ b/crates/fault-shim/src/raw_call.rs
@@ -1,4 +1,4 @@
-//! System calls from one known address, which the filter lets through.
+//! Executes system calls from one fixed address, which the filter allows.
 
 use std::arch::global_asm;
 
@@ -26,18 +26,19 @@
     static fault_shim_raw_call_return: u8;
 }
 
-/// Carries out a system call; the result is negative for an error, as the kernel returns it.
+/// Executes a system call and returns the kernel's result, which for an error is the negated `errno` value.
 ///
 /// # Safety
 ///
-/// As for the system call.
+/// The requirements of the system call apply.
 pub unsafe fn raw_call(number: i64, arguments: [i64; 6]) -> i64 {
     let [a, b, c, d, e, f] = arguments;
-    // SAFETY: the caller vouches for the arguments.
+    // SAFETY: the caller meets the requirements of the system call.
     unsafe { fault_shim_raw_call(number, a, b, c, d, e, f) }
 }
 
-/// The address of the instruction behind the one that enters the kernel, which the kernel reports to the filter.
+/// Returns the address of the instruction after `syscall`, which the kernel reports to the filter as the instruction
+/// pointer.
 pub fn return_address() -> u64 {
     &raw const fault_shim_raw_call_return as u64
 }
