--- a/crates/test-servers/src/discovery.rs
+++ b/crates/test-servers/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery over HTTP/1.1: the full endpoint list, and watches that get each change at once.
+//! A discovery server over HTTP/1.1, which serves the full endpoint list and sends each change to watches at once.
 
 mod connection;
 
@@ -10,43 +10,46 @@
 /// A discovery server; clones share its state.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// The address on which the server listens.
     pub at: SocketAddr,
     shared: Arc<Shared>,
 }
 
-/// What the handle and the connections share.
+/// The state that the handles and the connections of a server share.
 #[derive(Default)]
 struct Shared {
     state: Mutex<State>,
-    /// Notified of each change of the state.
+    /// Notified of each change of `state`.
     changed: Condvar,
 }
 
 #[derive(Default)]
 struct State {
     revision: u64,
-    /// The endpoint list by id.
+    /// The entries of the endpoint list by id.
     members: BTreeMap<String, Json>,
     /// The updates since the list was last replaced, in order.
     updates: Vec<Update>,
-    /// Requests fail and watches end for as long as it is down.
+    /// Whether the server is down: requests fail and watches end.
     is_down: bool,
+    /// The number of requests received, including those that failed.
     requests: u64,
-    /// How many updates were written to watches.
+    /// The number of updates written to watches.
     updates_sent: u64,
 }
 
-/// The entries that changed at a revision.
+/// The entries of the endpoint list that changed at a revision.
 #[derive(Clone)]
 struct Update {
     revision: u64,
     members: Vec<Json>,
 }
 
-/// An entry of the endpoint list.
-pub fn member(id: &str, at: &str, zone: &str, replica_set: usize, phase: &str, up_since_ms: i64) -> Json {
-    json!({"id": id, "host_port": at, "locality": zone, "cell": replica_set, "phase": phase, "size": 1.0,
+/// Returns an entry of the endpoint list as JSON.
+pub fn member(
+    id: &str, address: &str, zone: &str, replica_set: usize, phase: &str, up_since_ms: i64,
+) -> Json {
+    json!({"id": id, "host_port": address, "locality": zone, "cell": replica_set, "phase": phase, "size": 1.0,
         "up_since_ms": up_since_ms})
 }
 
@@ -60,31 +63,31 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("a lock")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
-    fn edit(&self, change: impl FnOnce(&mut State)) {
+    fn modify(&self, change: impl FnOnce(&mut State)) {
         change(&mut self.lock());
         self.changed.notify_all();
     }
 }
 
 impl Discovery {
-    /// Starts at a revision with an endpoint list.
+    /// Starts a server with an endpoint list at a revision.
     pub fn start(revision: u64, members: Vec<Json>) -> Discovery {
         let state = State { revision, members: by_id(members), ..State::default() };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let served = shared.clone();
         let at = crate::listen(move |stream| {
-            // A client may close its connection at any time.
+            // An error means that the client closed its connection, which it may do at any time.
             let _ = connection::serve(stream, &served);
         });
         Discovery { at, shared }
     }
 
-    /// Publishes changed entries in one update; an entry whose phase is `gone` is removed from the list.
+    /// Publishes changed entries in one incremental update; an entry whose phase is `gone` is removed from the list.
     pub fn publish(&self, changed: Vec<Json>) {
-        self.shared.edit(|state| {
+        self.shared.modify(|state| {
             state.revision += 1;
             for member in &changed {
                 let id = id_of(member);
@@ -98,32 +101,32 @@
         });
     }
 
-    /// Replaces the endpoint list; watches learn of it when they begin anew.
+    /// Replaces the endpoint list. Existing watches are not notified; a new watch receives the new list.
     pub fn replace(&self, members: Vec<Json>) {
-        self.shared.edit(|state| {
+        self.shared.modify(|state| {
             state.revision += 1;
             state.members = by_id(members);
             state.updates.clear();
         });
     }
 
-    /// While it is down requests are answered with 503 and watches end.
+    /// Sets whether the server is down, in which case it responds to requests with status 503 and ends watches.
     pub fn set_down(&self, is_down: bool) {
-        self.shared.edit(|state| state.is_down = is_down);
+        self.shared.modify(|state| state.is_down = is_down);
     }
 
-    /// How many updates were written to watches.
+    /// Returns the number of updates written to watches.
     pub fn updates_sent(&self) -> u64 {
         self.shared.lock().updates_sent
     }
 
-    /// Waits until so many updates were written to watches.
+    /// Waits until at least `count` updates were written to watches.
     pub fn wait_for_updates_sent(&self, count: u64) {
         let too_few = |state: &mut State| state.updates_sent < count;
-        drop(self.shared.changed.wait_while(self.shared.lock(), too_few).expect("a lock"));
+        drop(self.shared.changed.wait_while(self.shared.lock(), too_few).expect("the lock is not poisoned"));
     }
 
-    /// How many requests were accepted, including those that failed.
+    /// Returns the number of requests received, including those that failed.
     pub fn requests(&self) -> u64 {
         self.shared.lock().requests
     }
--- a/crates/test-servers/src/discovery/connection.rs
+++ b/crates/test-servers/src/discovery/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to the discovery server, for one request.
+//! A connection to the discovery server, which serves one request.
 
 use super::{Shared, State, Update};
 use serde_json::{Value as Json, json};
@@ -6,10 +6,10 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// How often a watch gets an empty line while nothing changes.
+/// The interval at which a watch receives an empty line while the endpoint list does not change.
 const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Reads one request and answers it.
+/// Reads one request and responds to it.
 pub(super) fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
     let mut lines = BufReader::new(stream.try_clone()?).lines();
     let request = lines.next().unwrap_or(Ok(String::new()))?;
@@ -30,8 +30,8 @@
     Watch { stream, shared, revision }.run()
 }
 
-/// The revision after which a request wants updates; `None` if it wants the full list once. A revision that
-/// cannot be parsed counts as 0.
+/// Returns the revision after which a watch requests updates; `None` for a poll, which requests the full list. A
+/// revision that cannot be parsed counts as 0.
 fn watched_revision(request: &str) -> Option<u64> {
     let after = request.split("after=").nth(1)?.split(' ').next()?;
     Some(after.parse().unwrap_or(0))
@@ -42,11 +42,11 @@
     json!({"revision": state.revision, "complete": true, "members": members}).to_string() + "\n"
 }
 
-/// A watch that gets each update as a line in a chunk of its own.
+/// A watch, which receives each update as one line in its own chunk.
 struct Watch<'a> {
     stream: TcpStream,
     shared: &'a Shared,
-    /// The revision that the client has.
+    /// The latest revision that the client has; 0 if it has no list.
     revision: u64,
 }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Sends the full list to a client that has none, or one that is older than the first update.
+    /// Sends the full list to a client that has no list, or whose list is too old for the available updates.
     fn send_list_if_updates_are_missing(&mut self) -> io::Result<()> {
         let state = self.shared.lock();
         let oldest = state.updates.first().map_or(state.revision, |update| update.revision - 1);
@@ -78,8 +78,8 @@
         self.write_chunk(&line)
     }
 
-    /// Waits for updates that the client does not have; empty if none came in time, `None` once the server is
-    /// down.
+    /// Waits for updates that the client does not have. Returns an empty list if there is none within
+    /// [`EMPTY_LINE_INTERVAL`], and `None` once the server is down.
     fn next_updates(&self) -> Option<Vec<Update>> {
         let is_idle = |state: &mut State| {
             !state.is_down && state.updates.last().is_none_or(|update| update.revision <= self.revision)
@@ -88,7 +88,7 @@
             .shared
             .changed
             .wait_timeout_while(self.shared.lock(), EMPTY_LINE_INTERVAL, is_idle)
-            .expect("a lock");
+            .expect("the lock is not poisoned");
         if state.is_down {
             return None;
         }
@@ -100,7 +100,7 @@
         let line = json!({"revision": revision, "complete": false, "members": members}).to_string() + "\n";
         self.write_chunk(&line)?;
         self.revision = *revision;
-        self.shared.edit(|state| state.updates_sent += 1);
+        self.shared.modify(|state| state.updates_sent += 1);
         Ok(())
     }
 
--- a/crates/test-servers/src/lib.rs
+++ b/crates/test-servers/src/lib.rs
@@ -1,6 +1,6 @@
-//! Servers and clients for tests, written from the documents that describe the real ones. Each server listens
-//! on loopback at a port that the system chooses and serves each connection on a thread. All are scripted by
-//! plain values.
+//! Scripted servers and clients for tests, implemented from the documentation of the real ones. Each server listens
+//! on a loopback port that the system chooses and serves each connection on its own thread. Tests configure all of them
+//! with plain values.
 
 #![warn(missing_docs)]
 
@@ -18,7 +18,7 @@
 pub use data_node::data_node;
 pub use discovery::{Discovery, member};
 pub use listener::listen;
-pub use load_reporter::{EndpointLoad, Reporter};
+pub use load_reporter::{EndpointLoad, LoadReportStream};
 pub use proxy::{Proxy, request_unknown_type};
 pub use proxy_view::{Backend, View};
 pub use script::{ProxyTls, Reject, Script};
--- a/crates/test-servers/src/load_reporter.rs
+++ b/crates/test-servers/src/load_reporter.rs
@@ -1,4 +1,4 @@
-//! Load reports of a proxy, through the load reporting service.
+//! Load reports that a proxy sends to the load reporting service.
 
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
@@ -10,49 +10,53 @@
 use xds_api::pb::envoy::service::load_stats::v3 as lrs;
 use xds_api::pb::google::protobuf::Duration;
 
-/// The cluster that is reported on.
+/// The name of the cluster that the reports cover.
 const CLUSTER: &str = "shards-0";
 
-/// How many reports may wait to be sent.
-const QUEUED_REPORTS: usize = 8;
+/// The maximum number of reports that wait to be sent.
+const REPORT_QUEUE_CAPACITY: usize = 8;
 
-/// What a proxy observed at an endpoint during an interval.
+/// The load of an endpoint that a proxy measured during a report interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointLoad {
     /// The endpoint's address.
     pub at: SocketAddr,
-    /// Requests that were answered.
+    /// Requests that succeeded during the interval.
     pub succeeded: u64,
-    /// Requests that ended in an error.
+    /// Requests that failed during the interval.
     pub errors: u64,
     /// Requests in flight at the end of the interval.
     pub in_progress: u64,
-    /// Requests that were sent.
+    /// Requests that were sent during the interval.
     pub issued: u64,
 }
 
-/// An open stream of load reports; it ends when this is dropped.
-pub struct Reporter {
-    requests: mpsc::Sender<lrs::LoadStatsRequest>,
-    /// Kept since the service would take a client that drops it for gone.
+/// An open stream of load reports, which ends when the value is dropped.
+pub struct LoadReportStream {
+    request_sender: mpsc::Sender<lrs::LoadStatsRequest>,
+    /// Held because the service would see a client that drops its responses as disconnected.
     _responses: Streaming<lrs::LoadStatsResponse>,
 }
 
-impl Reporter {
-    /// Opens a stream and waits until the service asks for reports.
-    pub(crate) async fn open(channel: Channel, node: Option<core::Node>) -> Result<Reporter, Status> {
+impl LoadReportStream {
+    /// Opens a stream and waits until the service requests reports.
+    pub(crate) async fn open(channel: Channel, node: Option<core::Node>) -> Result<LoadReportStream, Status> {
         let mut client = lrs::load_reporting_service_client::LoadReportingServiceClient::new(channel);
-        let (requests, queued) = mpsc::channel(QUEUED_REPORTS);
-        let first = lrs::LoadStatsRequest { node, ..Default::default() };
-        // It fails only once the stream has ended, which the call below reports.
-        let _ = requests.send(first).await;
-        let mut responses = client.stream_load_stats(ReceiverStream::new(queued)).await?.into_inner();
-        let wanted = responses.message().await?.ok_or_else(|| Status::unavailable("nothing was asked"))?;
-        assert!(wanted.send_all_clusters && wanted.report_endpoint_granularity);
-        Ok(Reporter { requests, _responses: responses })
+        let (request_sender, request_receiver) = mpsc::channel(REPORT_QUEUE_CAPACITY);
+        let first_request = lrs::LoadStatsRequest { node, ..Default::default() };
+        // Sending fails only once the stream has ended, which the call below reports.
+        let _ = request_sender.send(first_request).await;
+        let mut responses =
+            client.stream_load_stats(ReceiverStream::new(request_receiver)).await?.into_inner();
+        let response = responses
+            .message()
+            .await?
+            .ok_or_else(|| Status::unavailable("the service ended the stream without requesting reports"))?;
+        assert!(response.send_all_clusters && response.report_endpoint_granularity);
+        Ok(LoadReportStream { request_sender, _responses: responses })
     }
 
-    /// Reports on an interval of so many seconds.
+    /// Sends a report on an interval of `seconds`; has no effect if the stream has ended.
     pub async fn send(&self, seconds: i64, loads: Vec<EndpointLoad>) {
         let locality = eds::UpstreamLocalityStats {
             upstream_endpoint_stats: loads.into_iter().map(endpoint_stats).collect(),
@@ -65,14 +69,14 @@
             ..Default::default()
         };
         let request = lrs::LoadStatsRequest { cluster_stats: vec![cluster], ..Default::default() };
-        // A stream that has ended takes no more reports.
-        let _ = self.requests.send(request).await;
+        // Sending fails only once the stream has ended.
+        let _ = self.request_sender.send(request).await;
     }
 }
 
 fn endpoint_stats(load: EndpointLoad) -> eds::UpstreamEndpointStats {
     eds::UpstreamEndpointStats {
-        address: Some(address(load.at)),
+        address: Some(envoy_address(load.at)),
         total_successful_requests: load.succeeded,
         total_error_requests: load.errors,
         total_requests_in_progress: load.in_progress,
@@ -81,12 +85,12 @@
     }
 }
 
-fn address(at: SocketAddr) -> core::Address {
-    let port = core::socket_address::PortSpecifier::PortValue(at.port() as u32);
-    let socket = core::SocketAddress {
-        address: at.ip().to_string(),
+fn envoy_address(socket_address: SocketAddr) -> core::Address {
+    let port = core::socket_address::PortSpecifier::PortValue(socket_address.port() as u32);
+    let envoy_socket = core::SocketAddress {
+        address: socket_address.ip().to_string(),
         port_specifier: Some(port),
         ..Default::default()
     };
-    core::Address { address: Some(core::address::Address::SocketAddress(socket)) }
+    core::Address { address: Some(core::address::Address::SocketAddress(envoy_socket)) }
 }
--- a/crates/test-servers/src/proxy_view.rs
+++ b/crates/test-servers/src/proxy_view.rs
@@ -1,4 +1,4 @@
-//! What a proxy has received and would act on.
+//! The configuration that a proxy has received and accepted.
 
 use crate::resources::{ResourceType, decode, name_of, socket_address};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,53 +13,55 @@
 };
 use xds_api::pb::google::protobuf::Any;
 
-/// The weight of the only cluster of a route, and of an endpoint that states none.
+/// The weight of the only cluster of a route, and of an endpoint without a weight.
 const DEFAULT_WEIGHT: u32 = 1;
 
 /// An endpoint of a cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
-    /// Its address.
+    /// The endpoint's address.
     pub at: SocketAddr,
-    /// Whether it may get new requests.
+    /// Whether the endpoint may receive new requests.
     pub healthy: bool,
-    /// The zone of its locality.
+    /// The zone of the endpoint's locality; empty if it has no locality.
     pub zone: String,
-    /// The priority of its locality.
+    /// The priority of the endpoint's locality; 0 is the highest.
     pub priority: u32,
-    /// Its load-balancing weight.
+    /// The endpoint's load-balancing weight; 1 if none was received.
     pub weight: u32,
 }
 
-/// What a proxy has received and would act on.
+/// The configuration that a proxy has received and accepted, and counts of the responses.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// By cluster, the most requests that the proxy may have in flight.
+    /// By cluster name, the circuit breaker's limit on the proxy's requests in flight.
     pub clusters: BTreeMap<String, u32>,
-    /// By cluster, its endpoints.
+    /// By cluster name, the cluster's endpoints.
     pub endpoints: BTreeMap<String, Vec<Backend>>,
-    /// By cluster, the requests to drop, in percent.
+    /// By cluster name, the percentage of requests to drop.
     pub dropped: BTreeMap<String, u32>,
-    /// By route configuration, its clusters and their weights.
+    /// By name of the route configuration, the clusters that it leads to and their weights.
     pub routes: BTreeMap<String, BTreeMap<String, u32>>,
     /// The names of the listeners.
     pub listeners: BTreeSet<String>,
-    /// By type URL and name, the version; for the state of the world by type URL, under an empty name.
+    /// By type URL and resource name, the accepted version. A state-of-the-world version applies to a whole type and
+    /// has an empty resource name.
     pub versions: BTreeMap<(String, String), String>,
-    /// By response, its type URL and the names of the resources in it.
+    /// For each response in order of arrival, its type URL and the names of its resources that have content.
     pub log: Vec<(String, Vec<String>)>,
-    /// The size of all resources received, in bytes.
+    /// The total size of the resources received, in bytes.
     pub bytes: usize,
-    /// How many responses the proxy rejected.
+    /// The number of responses that the proxy rejected.
     pub rejected: usize,
-    /// How many resources came without content, as a heartbeat.
+    /// The number of resources received without content, which are heartbeats.
     pub heartbeats: usize,
-    /// Clusters without endpoints that a route led to when a response had been applied.
+    /// Clusters that a route led to and that were missing, or had no endpoint list, after a response was handled. Not
+    /// recorded for proxyless clients.
     pub gaps: Vec<String>,
 }
 
 impl View {
-    /// Whether a node may get new requests: it is healthy in a cluster that a route leads to.
+    /// Whether the proxy may send new requests to a node: the node is healthy in a cluster that a route leads to.
     pub fn uses(&self, at: SocketAddr) -> bool {
         let is_usable = |backend: &Backend| backend.at == at && backend.healthy;
         self.routed_clusters()
@@ -67,26 +69,26 @@
             .any(|backends| backends.iter().any(is_usable))
     }
 
-    /// Whether there is a route, and each route leads to a known cluster with its endpoints.
+    /// Whether there is a route and every cluster that a route leads to was received together with its endpoints.
     pub fn is_complete(&self) -> bool {
-        !self.routes.is_empty() && self.first_gap().is_none()
+        !self.routes.is_empty() && self.first_unresolved_cluster().is_none()
     }
 
-    /// The first cluster that a route leads to and that is not known with its endpoints.
-    pub(crate) fn first_gap(&self) -> Option<String> {
-        let is_gap =
+    /// Returns the first cluster that a route leads to and that was not received together with its endpoints.
+    pub(crate) fn first_unresolved_cluster(&self) -> Option<String> {
+        let is_unresolved =
             |name: &&String| !self.clusters.contains_key(*name) || !self.endpoints.contains_key(*name);
-        self.routed_clusters().find(is_gap).cloned()
+        self.routed_clusters().find(is_unresolved).cloned()
     }
 
-    /// The clusters that routes lead to.
+    /// Returns the clusters that routes lead to; a cluster of several route configurations is repeated.
     pub(crate) fn routed_clusters(&self) -> impl Iterator<Item = &String> {
         self.routes.values().flat_map(BTreeMap::keys)
     }
 
-    /// The names of all resources of a type.
-    pub(crate) fn names(&self, kind: ResourceType) -> Vec<String> {
-        match kind {
+    /// Returns the names of all resources of a type.
+    pub(crate) fn names(&self, resource_type: ResourceType) -> Vec<String> {
+        match resource_type {
             ResourceType::Cluster => self.clusters.keys().cloned().collect(),
             ResourceType::LoadAssignment => self.endpoints.keys().cloned().collect(),
             ResourceType::Listener => self.listeners.iter().cloned().collect(),
@@ -94,10 +96,10 @@
         }
     }
 
-    /// Adds a resource, or replaces it.
+    /// Adds or replaces a resource.
     pub(crate) fn insert(&mut self, any: &Any) {
         let name = name_of(any);
-        match ResourceType::from_url(&any.type_url) {
+        match ResourceType::from_type_url(&any.type_url) {
             ResourceType::Cluster => {
                 self.clusters.insert(name, max_requests(&decode(any)));
             }
@@ -115,9 +117,9 @@
         }
     }
 
-    /// Removes a resource; a cluster's endpoints go with it.
-    pub(crate) fn remove(&mut self, kind: ResourceType, name: &str) {
-        match kind {
+    /// Removes a resource. Removing a cluster also removes its endpoints.
+    pub(crate) fn remove(&mut self, resource_type: ResourceType, name: &str) {
+        match resource_type {
             ResourceType::Cluster => {
                 self.clusters.remove(name);
                 self.endpoints.remove(name);
@@ -132,14 +134,14 @@
                 self.routes.remove(name);
             }
         }
-        self.versions.remove(&(kind.url(), name.to_string()));
+        self.versions.remove(&(resource_type.type_url(), name.to_string()));
     }
 }
 
-/// The circuit breaker's limit on requests in flight.
+/// Returns the circuit breaker's limit on requests in flight.
 fn max_requests(cluster: &Cluster) -> u32 {
     let breakers = cluster.circuit_breakers.as_ref().expect("circuit breakers");
-    breakers.thresholds[0].max_requests.as_ref().expect("a limit").value
+    breakers.thresholds[0].max_requests.as_ref().expect("a limit on requests").value
 }
 
 fn dropped_percent(assignment: &ClusterLoadAssignment) -> u32 {
@@ -152,7 +154,9 @@
 }
 
 fn backend(locality: &LocalityLbEndpoints, endpoint: &LbEndpoint) -> Backend {
-    let Some(HostIdentifier::Endpoint(host)) = &endpoint.host_identifier else { panic!("an endpoint") };
+    let Some(HostIdentifier::Endpoint(host)) = &endpoint.host_identifier else {
+        panic!("the host identifier is not an endpoint")
+    };
     Backend {
         at: socket_address(&host.address),
         healthy: endpoint.health_status == HealthStatus::Healthy as i32,
@@ -162,7 +166,7 @@
     }
 }
 
-/// The clusters that a route configuration leads to, and their weights.
+/// Returns the clusters that a route configuration leads to, and their weights.
 fn weighted_clusters(configuration: &RouteConfiguration) -> BTreeMap<String, u32> {
     let mut clusters = BTreeMap::new();
     for route in configuration.virtual_hosts.iter().flat_map(|host| &host.routes) {
@@ -177,7 +181,7 @@
                     clusters.insert(cluster.name.clone(), weight);
                 }
             }
-            _ => panic!("a cluster"),
+            _ => panic!("the route does not lead to a cluster"),
         }
     }
     clusters
--- a/crates/test-servers/src/script.rs
+++ b/crates/test-servers/src/script.rs
@@ -1,46 +1,47 @@
-//! How a proxy behaves in a test.
+//! The settings of a proxy in a test.
 
 use std::sync::Arc;
 use std::time::Duration;
 
-/// By type URL and names of a response, why the proxy rejects it, if it does.
+/// Returns the reason for which the proxy rejects a response with this type URL and these resource names; `None` if it
+/// accepts the response.
 pub type Reject = dyn Fn(&str, &[String]) -> Option<String> + Send + Sync;
 
-/// How a proxy behaves.
+/// The settings of a proxy.
 #[derive(Clone)]
 pub struct Script {
-    /// The proxy's node id.
+    /// The node id under which the proxy identifies itself.
     pub id: String,
-    /// The zone that it is in.
+    /// The zone of the proxy's locality.
     pub zone: String,
-    /// Whether it speaks the incremental variant of xDS, and not the state of the world.
+    /// Whether the proxy uses the incremental variant of xDS; if not, it uses the state-of-the-world variant.
     pub delta: bool,
-    /// As a proxyless gRPC client it subscribes to everything by name, to this listener first. Without it, it
-    /// subscribes to clusters and listeners by wildcard.
+    /// The listener that a proxyless gRPC client subscribes to first; such a client subscribes to all resources by
+    /// name. `None` for a proxy, which subscribes to clusters and listeners by wildcard.
     pub proxyless: Option<String>,
-    /// How long a response is on its way to the proxy.
+    /// The simulated network latency of each response.
     pub delay: Duration,
-    /// Which responses it rejects.
+    /// Decides which responses the proxy rejects; `None` if it accepts all.
     pub reject: Option<Arc<Reject>>,
-    /// Its certificates; without them it connects in plain text.
+    /// The proxy's certificates; `None` if it connects without TLS.
     pub tls: Option<ProxyTls>,
 }
 
-/// What a proxy needs for TLS, as PEM.
+/// The TLS settings of a proxy; certificates and keys are in PEM format.
 #[derive(Clone, Debug)]
 pub struct ProxyTls {
-    /// The authority that signed the server's certificate.
+    /// The certificate of the authority that signed the server's certificate.
     pub authority: String,
     /// The proxy's certificate.
     pub certificate: String,
-    /// The key of that certificate.
+    /// The private key of the proxy's certificate.
     pub key: String,
-    /// The name that the server's certificate must have.
+    /// The name that the server's certificate must be valid for.
     pub server_name: String,
 }
 
 impl Script {
-    /// A proxy that accepts everything without delay, in plain text.
+    /// Returns the settings of a proxy that accepts every response, without delay and without TLS.
     pub fn new(id: &str, zone: &str, delta: bool) -> Script {
         Script {
             id: id.to_string(),
--- a/crates/test-servers/src/xds_client.rs
+++ b/crates/test-servers/src/xds_client.rs
@@ -1,47 +1,48 @@
-//! A proxy's side of an xDS stream, without a socket: it subscribes, accepts or rejects responses, and keeps
-//! the view that the proxy would act on. After each response it checks that no route of the view leads to a
-//! cluster without endpoints.
+//! The client side of an xDS stream, without a socket: it subscribes, accepts or rejects responses, and keeps the
+//! proxy's view. After each response it checks that no route of the view leads to a cluster without endpoints.
 
 use crate::resources::{ResourceType, name_of};
 use crate::{DiscoveryRequest, DiscoveryResponse, Script, View};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The route configuration that the listener names.
-const ROUTE_CONFIGURATION: &str = "desk";
+/// The name of the route configuration that the listener refers to.
+const ROUTE_CONFIGURATION_NAME: &str = "desk";
 
-/// A proxy's side of an xDS stream.
+/// The client side of an xDS stream.
 pub struct XdsClient {
-    /// How it behaves.
+    /// The settings of the proxy.
     pub script: Script,
-    /// What it has received.
+    /// The configuration that the proxy has received and accepted.
     pub view: View,
-    /// By type URL, the names it subscribed to on this stream.
+    /// By type URL, the names that the client subscribed to on this stream.
     subscribed: BTreeMap<String, BTreeSet<String>>,
     /// By type URL, the nonce of the last response on this stream.
     nonces: BTreeMap<String, String>,
 }
 
 impl XdsClient {
-    /// A client that has received nothing.
+    /// Returns a client that has received nothing.
     pub fn new(script: Script) -> XdsClient {
         XdsClient { script, view: View::default(), subscribed: BTreeMap::new(), nonces: BTreeMap::new() }
     }
 
-    /// The names to subscribe to of a type, according to what has been received.
-    fn wanted(&self, kind: ResourceType) -> BTreeSet<String> {
+    /// Returns the names of a type to subscribe to, which depend on the resources received so far. Empty for a wildcard
+    /// subscription.
+    fn names_to_subscribe(&self, resource_type: ResourceType) -> BTreeSet<String> {
         let (view, proxyless) = (&self.view, &self.script.proxyless);
-        match kind {
+        match resource_type {
             ResourceType::Cluster if proxyless.is_some() => view.routed_clusters().cloned().collect(),
             ResourceType::Cluster => BTreeSet::new(),
             ResourceType::LoadAssignment => view.clusters.keys().cloned().collect(),
             ResourceType::Listener => proxyless.iter().cloned().collect(),
             ResourceType::RouteConfiguration if view.listeners.is_empty() => BTreeSet::new(),
-            ResourceType::RouteConfiguration => BTreeSet::from([ROUTE_CONFIGURATION.to_string()]),
+            ResourceType::RouteConfiguration => BTreeSet::from([ROUTE_CONFIGURATION_NAME.to_string()]),
         }
     }
 
-    /// The types in the order in which they are subscribed to: a proxyless client begins with its listener.
-    fn types(&self) -> [ResourceType; 4] {
+    /// Returns the types in the order in which the client subscribes to them; a proxyless client begins with its
+    /// listener.
+    fn subscription_order(&self) -> [ResourceType; 4] {
         let mut types = ResourceType::ALL;
         if self.script.proxyless.is_some() {
             types.rotate_left(2);
@@ -49,54 +50,55 @@
         types
     }
 
-    fn is_wildcard(&self, kind: ResourceType) -> bool {
-        self.script.proxyless.is_none() && matches!(kind, ResourceType::Cluster | ResourceType::Listener)
+    fn is_wildcard(&self, resource_type: ResourceType) -> bool {
+        self.script.proxyless.is_none()
+            && matches!(resource_type, ResourceType::Cluster | ResourceType::Listener)
     }
 
-    /// The version of a type that was accepted last, for the state of the world.
-    fn version(&self, url: &str) -> String {
+    /// Returns the version of a type that was accepted last on a state-of-the-world stream; empty if there is none.
+    fn accepted_version(&self, url: &str) -> String {
         self.view.versions.get(&(url.to_string(), String::new())).cloned().unwrap_or_default()
     }
 
-    /// The versions of a type's resources, for an incremental stream.
+    /// Returns the names and versions of a type's resources from an incremental stream.
     fn resource_versions(&self, url: &str) -> Vec<(String, String)> {
         let versions = self.view.versions.iter();
-        let of_type = versions.filter(|((of, name), _)| of == url && !name.is_empty());
+        let of_type = versions.filter(|((type_url, name), _)| type_url == url && !name.is_empty());
         of_type.map(|((_, name), version)| (name.clone(), version.clone())).collect()
     }
 
-    /// The first requests of a stream, with what is known from an earlier one.
+    /// Begins a new stream and returns its first requests, which state the versions accepted on an earlier stream.
     pub fn open(&mut self) -> Vec<DiscoveryRequest> {
         self.subscribed.clear();
         self.nonces.clear();
         let mut requests = Vec::new();
-        for kind in self.types() {
-            let wanted = self.wanted(kind);
-            if wanted.is_empty() && !self.is_wildcard(kind) {
+        for resource_type in self.subscription_order() {
+            let wanted_names = self.names_to_subscribe(resource_type);
+            if wanted_names.is_empty() && !self.is_wildcard(resource_type) {
                 continue;
             }
-            let url = kind.url();
-            let names: Vec<String> = wanted.iter().cloned().collect();
+            let url = resource_type.type_url();
+            let names: Vec<String> = wanted_names.iter().cloned().collect();
             requests.push(DiscoveryRequest {
-                version: self.version(&url),
+                version: self.accepted_version(&url),
                 initial: self.resource_versions(&url),
                 names: names.clone(),
                 subscribe: names,
                 url: url.clone(),
                 ..DiscoveryRequest::default()
             });
-            self.subscribed.insert(url, wanted);
+            self.subscribed.insert(url, wanted_names);
         }
         requests
     }
 
-    /// Accepts or rejects a response. Returns the answer to it, and requests for subscriptions that have
-    /// changed with it.
+    /// Accepts or rejects a response. Returns its ACK or NACK, and requests for the subscriptions that the response
+    /// changed.
     pub fn handle_response(&mut self, response: &DiscoveryResponse) -> Vec<DiscoveryRequest> {
         let with_content = response.resources.iter().filter(|resource| resource.content.is_some());
         let names: Vec<String> = with_content.map(|resource| resource.name.clone()).collect();
         let rejection = self.script.reject.as_ref().and_then(|reject| reject(&response.url, &names));
-        self.view.bytes += size(response);
+        self.view.bytes += resource_bytes(response);
         self.view.heartbeats += response.resources.len() - names.len();
         if rejection.is_some() {
             self.view.rejected += 1;
@@ -105,24 +107,24 @@
         }
         self.view.log.push((response.url.clone(), names));
         if self.script.proxyless.is_none() {
-            self.view.gaps.extend(self.view.first_gap());
+            self.view.gaps.extend(self.view.first_unresolved_cluster());
         }
         self.nonces.insert(response.url.clone(), response.nonce.clone());
 
-        let mut requests = vec![self.answer(response, rejection)];
-        for kind in self.types() {
-            requests.extend(self.changed_subscription(kind, &response.url));
+        let mut requests = vec![self.ack_or_nack(response, rejection)];
+        for resource_type in self.subscription_order() {
+            requests.extend(self.changed_subscription(resource_type, &response.url));
         }
         requests
     }
 
     /// Applies an accepted response to the view; `names` are those of the resources with content.
     fn apply(&mut self, response: &DiscoveryResponse, names: &[String]) {
-        let kind = ResourceType::from_url(&response.url);
-        if kind.is_listed_in_full() && !self.script.delta {
-            for name in self.view.names(kind) {
+        let resource_type = ResourceType::from_type_url(&response.url);
+        if resource_type.is_listed_in_full() && !self.script.delta {
+            for name in self.view.names(resource_type) {
                 if !names.contains(&name) {
-                    self.view.remove(kind, &name);
+                    self.view.remove(resource_type, &name);
                 }
             }
         }
@@ -137,7 +139,7 @@
             }
         }
         for name in &response.removed {
-            self.view.remove(kind, name);
+            self.view.remove(resource_type, name);
         }
         if !self.script.delta {
             let key = (response.url.clone(), String::new());
@@ -145,28 +147,31 @@
         }
     }
 
-    fn answer(&self, response: &DiscoveryResponse, rejection: Option<String>) -> DiscoveryRequest {
+    fn ack_or_nack(&self, response: &DiscoveryResponse, rejection: Option<String>) -> DiscoveryRequest {
         DiscoveryRequest {
             url: response.url.clone(),
-            version: self.version(&response.url),
+            version: self.accepted_version(&response.url),
             nonce: response.nonce.clone(),
-            names: self.wanted(ResourceType::from_url(&response.url)).into_iter().collect(),
+            names: self.names_to_subscribe(ResourceType::from_type_url(&response.url)).into_iter().collect(),
             rejection,
             ..DiscoveryRequest::default()
         }
     }
 
-    /// A request for the names of a type, if they differ from those subscribed to. For the type of the
-    /// response the answer to it already states all names, unless the stream is incremental.
-    fn changed_subscription(&mut self, kind: ResourceType, response_url: &str) -> Option<DiscoveryRequest> {
-        let url = kind.url();
-        let wanted = self.wanted(kind);
+    /// Returns a request that updates the subscription to a type; `None` if the names are those already subscribed to.
+    /// On a state-of-the-world stream the response's own type needs no request, because the ACK or NACK states all
+    /// names.
+    fn changed_subscription(
+        &mut self, resource_type: ResourceType, response_url: &str,
+    ) -> Option<DiscoveryRequest> {
+        let url = resource_type.type_url();
+        let wanted_names = self.names_to_subscribe(resource_type);
         let is_subscribed = self.subscribed.contains_key(&url);
-        let before = self.subscribed.get(&url).cloned().unwrap_or_default();
-        if before == wanted {
+        let previous_names = self.subscribed.get(&url).cloned().unwrap_or_default();
+        if previous_names == wanted_names {
             return None;
         }
-        self.subscribed.insert(url.clone(), wanted.clone());
+        self.subscribed.insert(url.clone(), wanted_names.clone());
         if url == response_url && !self.script.delta {
             return None;
         }
@@ -175,19 +180,19 @@
             false => self.nonces.get(&url).cloned().unwrap_or_default(),
         };
         Some(DiscoveryRequest {
-            version: if is_subscribed { self.version(&url) } else { String::new() },
+            version: if is_subscribed { self.accepted_version(&url) } else { String::new() },
             nonce,
-            subscribe: wanted.difference(&before).cloned().collect(),
-            unsubscribe: before.difference(&wanted).cloned().collect(),
-            names: wanted.into_iter().collect(),
+            subscribe: wanted_names.difference(&previous_names).cloned().collect(),
+            unsubscribe: previous_names.difference(&wanted_names).cloned().collect(),
+            names: wanted_names.into_iter().collect(),
             url,
             ..DiscoveryRequest::default()
         })
     }
 }
 
-/// The size of a response's resources in bytes.
-fn size(response: &DiscoveryResponse) -> usize {
+/// Returns the total size of a response's resources in bytes.
+fn resource_bytes(response: &DiscoveryResponse) -> usize {
     let contents = response.resources.iter().filter_map(|resource| resource.content.as_ref());
     contents.map(|any| any.value.len()).sum()
 }
--- a/crates/test-servers/src/xds_messages.rs
+++ b/crates/test-servers/src/xds_messages.rs
@@ -1,5 +1,5 @@
-//! Requests and responses of the aggregated discovery service, in one form for both of its variants: the
-//! state of the world and incremental.
+//! Requests and responses of the aggregated discovery service, in a common form for its two variants: state of the
+//! world and incremental.
 
 use crate::resources::name_of;
 use prost::{Message, Name};
@@ -8,63 +8,63 @@
 use xds_api::pb::google::protobuf::Any;
 use xds_api::pb::google::rpc;
 
-/// The status code of a rejection.
+/// The gRPC status code in the error detail of a NACK.
 const INVALID_ARGUMENT: i32 = tonic::Code::InvalidArgument as i32;
 
-/// One request. A state-of-the-world request uses `version` and `names`, an incremental one `subscribe`,
-/// `unsubscribe` and `initial`.
+/// A discovery request. A state-of-the-world request uses `version` and `names`; an incremental request uses
+/// `subscribe`, `unsubscribe` and `initial`.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryRequest {
-    /// The type of the resources.
+    /// The type URL of the resources.
     pub url: String,
-    /// The version accepted last.
+    /// The version accepted last; empty if there is none.
     pub version: String,
-    /// The nonce of the response that it answers; empty for none.
+    /// The nonce of the response that the request refers to; empty if there is none.
     pub nonce: String,
-    /// All names that the proxy subscribes to.
+    /// All resource names that the proxy subscribes to; empty for a wildcard subscription.
     pub names: Vec<String>,
-    /// The names to subscribe to.
+    /// The resource names to subscribe to.
     pub subscribe: Vec<String>,
-    /// The names to unsubscribe from.
+    /// The resource names to unsubscribe from.
     pub unsubscribe: Vec<String>,
-    /// By name, the versions that the proxy has from an earlier stream.
+    /// The names and versions of the resources that the proxy has from an earlier stream.
     pub initial: Vec<(String, String)>,
-    /// Why the response was rejected, if it was.
+    /// The reason for which the proxy rejected the response; `None` unless the request is a NACK.
     pub rejection: Option<String>,
 }
 
-/// One response.
+/// A discovery response.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryResponse {
-    /// The type of the resources.
+    /// The type URL of the resources.
     pub url: String,
     /// The version of a state-of-the-world response; empty in an incremental one.
     pub version: String,
-    /// The nonce that the answer to it repeats.
+    /// The nonce that the ACK or NACK repeats.
     pub nonce: String,
-    /// The resources in it.
+    /// The added, changed or renewed resources.
     pub resources: Vec<ReceivedResource>,
-    /// The names of removed resources.
+    /// The names of removed resources; empty in a state-of-the-world response.
     pub removed: Vec<String>,
 }
 
-/// One resource of a response.
+/// A resource of a response.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedResource {
-    /// Its name.
+    /// The resource's name.
     pub name: String,
-    /// Its version in an incremental response.
+    /// The resource's version in an incremental response; empty in a state-of-the-world response.
     pub version: String,
-    /// Its content; a heartbeat has none.
+    /// The resource itself; `None` in a heartbeat.
     pub content: Option<Any>,
 }
 
-/// A request of one variant of the service.
+/// A request message of one variant of the service.
 pub(crate) trait WireRequest: Sized {
     fn new(request: DiscoveryRequest, node: Option<Node>) -> Self;
 }
 
-/// A response of one variant of the service.
+/// A response message of one variant of the service.
 pub(crate) trait WireResponse {
     fn into_response(self) -> DiscoveryResponse;
 }
@@ -108,18 +108,19 @@
             url: self.type_url,
             version: self.version_info,
             nonce: self.nonce,
-            resources: self.resources.into_iter().map(unwrapped).collect(),
+            resources: self.resources.into_iter().map(unwrap_resource).collect(),
             removed: Vec::new(),
         }
     }
 }
 
-/// A resource with a time to live comes wrapped; a heartbeat is wrapped without content.
-fn unwrapped(any: Any) -> ReceivedResource {
+/// Returns the resource of a state-of-the-world response. A resource with a time to live is wrapped in a `Resource`;
+/// the wrapper of a heartbeat has no content.
+fn unwrap_resource(any: Any) -> ReceivedResource {
     if any.type_url != ads::Resource::type_url() {
         return ReceivedResource { name: name_of(&any), version: String::new(), content: Some(any) };
     }
-    received(ads::Resource::decode(&any.value[..]).expect("a resource"))
+    received_resource(ads::Resource::decode(&any.value[..]).expect("a wrapped resource"))
 }
 
 impl WireResponse for ads::DeltaDiscoveryResponse {
@@ -128,12 +129,12 @@
             url: self.type_url,
             version: String::new(),
             nonce: self.nonce,
-            resources: self.resources.into_iter().map(received).collect(),
+            resources: self.resources.into_iter().map(received_resource).collect(),
             removed: self.removed_resources,
         }
     }
 }
 
-fn received(resource: ads::Resource) -> ReceivedResource {
+fn received_resource(resource: ads::Resource) -> ReceivedResource {
     ReceivedResource { name: resource.name, version: resource.version, content: resource.resource }
 }
--- a/crates/test-servers/tests/servers.rs
+++ b/crates/test-servers/tests/servers.rs
@@ -1,4 +1,4 @@
-//! The servers answer as the documents describe the real ones.
+//! Tests that the servers respond as the documentation of the real ones describes.
 
 use serde_json::{Value as Json, json};
 use std::io::{BufRead, BufReader, Read, Write};
@@ -9,21 +9,21 @@
     Discovery::start(3, vec![member("a", "127.0.0.1:9001", "z", 0, "ready", 0)])
 }
 
-/// Sends a request whose answer ends with the connection, and returns all of it.
-fn answer(at: SocketAddr, request: &str) -> String {
-    let mut stream = TcpStream::connect(at).expect("a connection");
+/// Sends a request and returns the response, which ends when the server closes the connection.
+fn fetch(address: SocketAddr, request: &str) -> String {
+    let mut stream = TcpStream::connect(address).expect("a connection");
     stream.write_all(request.as_bytes()).expect("the server reads");
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).expect("an answer");
-    answer
+    let mut response = String::new();
+    stream.read_to_string(&mut response).expect("a response");
+    response
 }
 
-/// A watch on the endpoint list.
+/// A client's watch on the endpoint list.
 struct Watch(BufReader<TcpStream>);
 
 impl Watch {
-    fn after(at: SocketAddr, revision: u64) -> Watch {
-        let mut stream = TcpStream::connect(at).expect("a connection");
+    fn start_after(address: SocketAddr, revision: u64) -> Watch {
+        let mut stream = TcpStream::connect(address).expect("a connection");
         write!(stream, "GET /api/targets?after={revision} HTTP/1.1\r\n\r\n").expect("the server reads");
         let mut watch = Watch(BufReader::new(stream));
         while watch.line() != "\r\n" {}
@@ -48,9 +48,11 @@
 
 #[test]
 fn a_poll_gets_the_full_list() {
-    let answer = answer(discovery().at, "GET /api/targets HTTP/1.1\r\n\r\n");
-    let (head, body) = answer.split_once("\r\n\r\n").expect("a head");
-    assert!(head.starts_with("HTTP/1.1 200 OK") && head.contains(&format!("Content-Length: {}", body.len())));
+    let response = fetch(discovery().at, "GET /api/targets HTTP/1.1\r\n\r\n");
+    let (header, body) = response.split_once("\r\n\r\n").expect("a header");
+    assert!(
+        header.starts_with("HTTP/1.1 200 OK") && header.contains(&format!("Content-Length: {}", body.len()))
+    );
     let list: Json = serde_json::from_str(body).expect("JSON");
     assert_eq!((&list["revision"], &list["complete"]), (&json!(3), &json!(true)));
     assert_eq!(list["members"], json!([member("a", "127.0.0.1:9001", "z", 0, "ready", 0)]));
@@ -59,7 +61,7 @@
 #[test]
 fn a_watch_gets_the_list_and_then_each_update() {
     let discovery = discovery();
-    let mut watch = Watch::after(discovery.at, 0);
+    let mut watch = Watch::start_after(discovery.at, 0);
     assert_eq!(watch.update()["complete"], json!(true));
     let changed = member("a", "127.0.0.1:9001", "z", 0, "draining", 0);
     discovery.publish(vec![changed.clone()]);
@@ -72,16 +74,16 @@
 fn a_watch_after_a_known_revision_gets_the_updates_alone() {
     let discovery = discovery();
     discovery.publish(vec![member("b", "127.0.0.1:9002", "z", 0, "ready", 0)]);
-    let update = Watch::after(discovery.at, 3).update();
+    let update = Watch::start_after(discovery.at, 3).update();
     assert_eq!((&update["revision"], &update["complete"]), (&json!(4), &json!(false)));
 }
 
 #[test]
-fn a_removed_entry_leaves_the_list() {
+fn a_removed_entry_is_no_longer_in_the_list() {
     let discovery = discovery();
     discovery.publish(vec![member("a", "127.0.0.1:9001", "z", 0, "gone", 0)]);
     assert!(
-        answer(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n")
+        fetch(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n")
             .ends_with(&(json!({"revision": 4, "complete": true, "members": []}).to_string() + "\n"))
     );
 }
@@ -90,17 +92,17 @@
 fn while_discovery_is_down_requests_fail() {
     let discovery = discovery();
     discovery.set_down(true);
-    assert!(answer(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503 "));
+    assert!(fetch(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503 "));
     discovery.set_down(false);
-    assert!(answer(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200 "));
+    assert!(fetch(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200 "));
 }
 
 #[test]
 fn a_data_node_answers_the_last_shard_request_of_a_batch_first() {
     let mut stream = TcpStream::connect(data_node()).expect("a connection");
     let batch = "R7 0 d=100 2\nab8 1 d=100 2\nab";
-    stream.write_all(&(batch.len() as u32).to_be_bytes()).expect("it reads");
-    stream.write_all(batch.as_bytes()).expect("it reads");
+    stream.write_all(&(batch.len() as u32).to_be_bytes()).expect("the node reads");
+    stream.write_all(batch.as_bytes()).expect("the node reads");
     for expected in ["Y8 OK 1 inflight=1\nab/1", "Y7 OK 1 inflight=1\nab/0"] {
         let mut length = [0; 4];
         stream.read_exact(&mut length).expect("a length");
