--- a/crates/settings-schema/src/endpoints.rs
+++ b/crates/settings-schema/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Reads the entries of the platform's endpoint lists.
+//! Parses the entries of the platform's endpoint lists.
 
 #[cfg(test)]
 mod tests;
@@ -8,10 +8,10 @@
 
 const MICROSECONDS_PER_MILLISECOND: Micros = 1000;
 
-/// The scale of a node whose entry states none.
+/// Scale of a node whose entry has no scale.
 const DEFAULT_SCALE: f64 = 1.0;
 
-/// The endpoint state that a code of the platform stands for, if it is known.
+/// Returns the endpoint state for a code of the platform; `None` if the code is unknown.
 pub fn endpoint_state(code: &str) -> Option<EndpointState> {
     Some(match code {
         "ready" => EndpointState::Ready,
@@ -21,27 +21,27 @@
     })
 }
 
-/// One entry of an endpoint list in the platform's form.
+/// One entry of an endpoint list in the platform's format.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointEntry<'a> {
-    /// The node's id.
+    /// Id of the node; never empty.
     pub id: &'a str,
-    /// Its address with port, as text; empty if absent.
+    /// Address of the node as `host:port`; empty if absent.
     pub address: &'a str,
-    /// The name of its zone; empty if absent.
+    /// Name of the node's zone; empty if absent.
     pub zone: &'a str,
-    /// Index of the replica set that it belongs to.
+    /// Index of the replica set that the node belongs to.
     pub replica_set: usize,
-    /// Whether it may be used.
+    /// Endpoint state of the node: ready, draining or removed.
     pub state: EndpointState,
-    /// Its size relative to others, 1 if absent.
+    /// Capacity of the node relative to other nodes; 1 if absent.
     pub scale: f64,
-    /// When its process started by the wall clock of discovery, in microseconds; 0 if absent.
+    /// Start time of the node's process by discovery's wall clock, in microseconds; 0 if absent.
     pub reported_start: Micros,
 }
 
 impl<'a> EndpointEntry<'a> {
-    /// Reads an entry; `None` if its id, replica set or state is missing or malformed.
+    /// Parses an entry; `None` if the id, the replica set or the state is missing or malformed.
     pub fn parse(entry: &'a Json) -> Option<Self> {
         let text = |key: &str| entry[key].as_str().unwrap_or("");
         let id = Some(text("id")).filter(|id| !id.is_empty())?;
--- a/crates/settings-schema/src/endpoints/tests.rs
+++ b/crates/settings-schema/src/endpoints/tests.rs
@@ -2,7 +2,7 @@
 use serde_json::json;
 
 #[test]
-fn an_entry_is_read_with_its_start_in_microseconds() {
+fn entry_is_parsed_with_its_start_time_in_microseconds() {
     let entry = json!({"id": "a", "host_port": "127.0.0.1:9001", "locality": "z", "cell": 2, "phase": "draining",
         "size": 0.5, "up_since_ms": 3});
     let expected = EndpointEntry {
@@ -18,14 +18,14 @@
 }
 
 #[test]
-fn what_an_entry_may_omit_has_a_default() {
+fn absent_optional_fields_have_defaults() {
     let entry = json!({"id": "a", "cell": 0, "phase": "ready"});
     let entry = EndpointEntry::parse(&entry).expect("an entry");
     assert_eq!((entry.address, entry.zone, entry.scale, entry.reported_start), ("", "", 1.0, 0));
 }
 
 #[test]
-fn an_entry_without_id_replica_set_or_known_state_is_not_read() {
+fn entry_without_id_replica_set_or_known_state_is_rejected() {
     for entry in [
         json!({"cell": 0, "phase": "ready"}),
         json!({"id": "", "cell": 0, "phase": "ready"}),
--- a/crates/settings-schema/src/ids.rs
+++ b/crates/settings-schema/src/ids.rs
@@ -1,4 +1,4 @@
-//! Maps the ids of a protocol to small indices and back.
+//! Maps ids of a protocol to small indices and back.
 
 #[cfg(test)]
 mod tests;
@@ -7,11 +7,12 @@
 use std::collections::HashMap;
 use std::hash::Hash;
 
-/// Gives each id a small index for as long as it is held. The index that was released last is reused first.
+/// Assigns each id a small index, which is valid until it is released. The index that was released last is
+/// reused first.
 #[derive(Debug)]
 pub struct IdInterner<K> {
     indices: HashMap<K, usize>,
-    /// The id of each index; `None` where the index is free.
+    /// The id assigned to each index; `None` if the index is free.
     keys: Vec<Option<K>>,
     free: Vec<usize>,
 }
@@ -23,7 +24,7 @@
 }
 
 impl<K: Hash + Eq + Clone> IdInterner<K> {
-    /// The index of `key`; a new one if it is not held yet.
+    /// Returns the index of `key`; assigns one if `key` has none.
     pub fn intern(&mut self, key: K) -> usize {
         if let Some(&index) = self.indices.get(&key) {
             return index;
@@ -37,7 +38,7 @@
         index
     }
 
-    /// The index of `key`, if it is held.
+    /// Returns the index of `key`; `None` if it has none.
     pub fn find<Q: Hash + Eq + ?Sized>(&self, key: &Q) -> Option<usize>
     where
         K: Borrow<Q>,
@@ -45,17 +46,17 @@
         self.indices.get(key).copied()
     }
 
-    /// The id that `index` stands for, if there is one.
+    /// Returns the id to which `index` is assigned; `None` if the index is free.
     pub fn key(&self, index: usize) -> Option<&K> {
         self.keys.get(index)?.as_ref()
     }
 
-    /// How many ids are held.
+    /// Returns the number of ids that have an index.
     pub fn count(&self) -> usize {
         self.indices.len()
     }
 
-    /// Frees `index`; the id that it stood for is not held any more.
+    /// Frees `index`, so that its id no longer has one. Does nothing if the index is free already.
     pub fn release(&mut self, index: usize) {
         if let Some(key) = self.keys.get_mut(index).and_then(Option::take) {
             self.indices.remove(&key);
--- a/crates/settings-schema/src/lib.rs
+++ b/crates/settings-schema/src/lib.rs
@@ -1,5 +1,6 @@
-//! What the query router, the control plane and the simulator adapter share: the translation of the
-//! platform's settings, load reports and endpoint lists to typed values, and small indices for ids.
+//! Translation of the platform's settings, load reports and endpoint lists to typed values, shared by the
+//! query router, the control plane and the simulator adapter. Also maps ids to small indices and converts the
+//! start times of nodes to the local clock.
 
 #![warn(missing_docs)]
 
--- a/crates/settings-schema/src/load.rs
+++ b/crates/settings-schema/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads the load reports of data nodes.
+//! Parses the load reports of data nodes.
 
 #[cfg(test)]
 mod tests;
@@ -6,8 +6,9 @@
 use crate::terms;
 use balancer::LoadMetric;
 
-/// Reads a load report: pairs of a name and a number, separated by commas, with `separator` between name and
-/// number. The names are translated. `None` if a pair has no separator or its value is not a finite number.
+/// Parses a load report: comma-separated pairs of a metric name and a number, with `separator` between the two.
+/// The platform's metric names are translated. `None` if a pair has no separator or its value is not a finite
+/// number.
 pub fn parse_load_metrics(report: &str, separator: char) -> Option<Vec<LoadMetric<'_>>> {
     let pairs = report.split(',').filter(|pair| !pair.is_empty());
     pairs.map(|pair| parse_load_metric(pair, separator)).collect()
--- a/crates/settings-schema/src/load/tests.rs
+++ b/crates/settings-schema/src/load/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn load_reports_are_pairs_of_finite_numbers() {
+fn load_report_is_a_list_of_names_with_finite_numbers() {
     assert_eq!(
         parse_load_metrics("active:7,new:0.5", ':'),
         Some(vec![metric("in_flight", 7.0), metric("new", 0.5)])
@@ -18,6 +18,6 @@
 }
 
 #[test]
-fn an_empty_report_has_no_metrics() {
+fn empty_report_has_no_metrics() {
     assert_eq!(parse_load_metrics("", '='), Some(Vec::new()));
 }
--- a/crates/settings-schema/src/settings.rs
+++ b/crates/settings-schema/src/settings.rs
@@ -1,7 +1,7 @@
 //! Translates the platform's settings, a JSON object, to the balancer's typed settings.
 //!
-//! The path of a setting is made of the object keys that lead to it, joined by dots; in the table of the known
-//! paths `#` stands for an index in an array.
+//! The path of a setting consists of the object keys and array indices that lead to it, joined by dots. In the
+//! table of known paths, `#` stands for any array index.
 
 #[cfg(test)]
 mod tests;
@@ -16,13 +16,13 @@
 
 const NANOSECONDS_PER_MICROSECOND: f64 = 1000.0;
 
-/// Paths that end with this hold times in nanoseconds.
+/// Suffix of the paths of times in nanoseconds.
 const NANOSECONDS_SUFFIX: &str = "Ns";
 
-/// Paths that end with this hold a name chosen by the platform, which is kept as it is.
+/// Suffix of the paths of names that the platform chooses freely; they are not translated.
 const NAME_SUFFIX: &str = "name";
 
-/// The lists whose entries belong to the service classes of the same index.
+/// Paths of the lists whose entries belong to the service class of the same index.
 const CLASS_LISTS: [&str; 5] = [
     "services",
     "familyInfo.floorByClass",
@@ -31,7 +31,8 @@
     "familyInfo.secondStep",
 ];
 
-/// The paths of the known settings, sorted. Some are read by no code; a change of theirs is noticed all the same.
+/// The paths of the known settings, sorted for binary search. Some are not used by any code, but
+/// [`StatedSettings`] includes them, so that a change of their values is detected.
 const KNOWN_PATHS: &[&str] = &[
     "ceilings.cancelling",
     "ceilings.connectTimeoutNs",
@@ -116,12 +117,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The JSON value is an array or a scalar.
-    #[error("it is not an object")]
+    #[error("expected a JSON object")]
     NotAnObject,
 }
 
-/// Translates the platform's settings; times become whole microseconds. Unknown settings are ignored, and a
-/// value of another type than expected counts as absent.
+/// Translates the platform's settings. Times are rounded down to whole microseconds. Unknown settings are
+/// ignored, and a value of an unexpected type counts as absent.
 ///
 /// # Errors
 ///
@@ -130,7 +131,7 @@
     Ok(StatedSettings::parse(json)?.to_settings())
 }
 
-/// The value of one setting; times are whole microseconds in `Number`.
+/// Value of one setting. A time is a `Number` of whole microseconds.
 #[derive(Clone, Debug, PartialEq)]
 enum Value {
     Number(f64),
@@ -138,12 +139,13 @@
     Text(String),
 }
 
-/// The known settings as the platform states them, by path with indices, also those that no code reads.
+/// The known settings that are present in the platform's settings, by path with array indices. Includes known
+/// settings that no code uses, so comparing two values detects changes of those too.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StatedSettings(BTreeMap<String, Value>);
 
 impl StatedSettings {
-    /// Reads the known settings.
+    /// Collects the known settings from the platform's settings.
     ///
     /// # Errors
     ///
@@ -157,7 +159,7 @@
         Ok(reader.settings)
     }
 
-    /// The settings that are read, as typed values.
+    /// Converts the settings that the balancer uses to typed values; absent ones get their defaults.
     pub fn to_settings(&self) -> Settings {
         Settings {
             zones: self.zones(),
@@ -179,7 +181,7 @@
         }
     }
 
-    /// The names of the zones before the first without a name.
+    /// The names of the zones, up to the first entry that is absent or empty.
     fn zones(&self) -> Vec<String> {
         let name = |index: usize| self.text(&format!("zones.{index}")).to_string();
         (0..).map(name).take_while(|name| !name.is_empty()).collect()
@@ -191,7 +193,7 @@
     }
 
     fn class(&self, index: usize) -> ClassSettings {
-        let absent = ClassSettings::default();
+        let defaults = ClassSettings::default();
         let service = |key: &str| format!("services.{index}.{key}");
         let by_class = |list: &str| self.number(&format!("familyInfo.{list}.{index}"));
         ClassSettings {
@@ -201,17 +203,17 @@
                 "idempotency_key" => Idempotency::Keyed,
                 _ => Idempotency::NonIdempotent,
             },
-            idempotency_window: self.micros(&service("dedupWindowNs")).unwrap_or(absent.idempotency_window),
+            idempotency_window: self.micros(&service("dedupWindowNs")).unwrap_or(defaults.idempotency_window),
             latency_objective: self.micros(&service("targetNs")),
             latency_objective_stretch: self
                 .number(&service("aimStretch"))
-                .unwrap_or(absent.latency_objective_stretch),
-            deadline: self.micros(&service("deadlineNs")).unwrap_or(absent.deadline),
-            late_value: self.number(&service("lateShare")).unwrap_or(absent.late_value),
-            partial_value: by_class("incompleteWorth").unwrap_or(absent.partial_value),
-            completeness_required: by_class("needByClass").unwrap_or(absent.completeness_required),
-            completeness_minimum: by_class("floorByClass").unwrap_or(absent.completeness_minimum),
-            priority_weight: self.number(&service("worth")).unwrap_or(absent.priority_weight),
+                .unwrap_or(defaults.latency_objective_stretch),
+            deadline: self.micros(&service("deadlineNs")).unwrap_or(defaults.deadline),
+            late_value: self.number(&service("lateShare")).unwrap_or(defaults.late_value),
+            partial_value: by_class("incompleteWorth").unwrap_or(defaults.partial_value),
+            completeness_required: by_class("needByClass").unwrap_or(defaults.completeness_required),
+            completeness_minimum: by_class("floorByClass").unwrap_or(defaults.completeness_minimum),
+            priority_weight: self.number(&service("worth")).unwrap_or(defaults.priority_weight),
             second_step: by_class("secondStep").is_some_and(|steps| steps >= 1.0),
         }
     }
@@ -254,23 +256,23 @@
     }
 
     fn rules(&self) -> RuleSettings {
-        let absent = RuleSettings::default();
-        let number = |path, absent| self.number(path).unwrap_or(absent);
+        let defaults = RuleSettings::default();
+        let number = |path, default| self.number(path).unwrap_or(default);
         let micros = |path| self.micros(path).unwrap_or(0);
         RuleSettings {
             poll_within: micros("obligations.askWithinNs"),
             drain_grace: micros("obligations.drainGraceNs"),
             retry_window: micros("obligations.extraWindowNs"),
             retry_share: self.number("obligations.budgetShare"),
-            free_retries: number("obligations.freeResends", absent.free_retries),
+            free_retries: number("obligations.freeResends", defaults.free_retries),
             cold_overload_window: micros("obligations.tipAfterNs"),
-            cold_overload_multiple: number("obligations.tipMultiple", absent.cold_overload_multiple),
-            cold_capacity_share: number("obligations.coldFrom", absent.cold_capacity_share),
+            cold_overload_multiple: number("obligations.tipMultiple", defaults.cold_overload_multiple),
+            cold_capacity_share: number("obligations.coldFrom", defaults.cold_capacity_share),
             warm_up: micros("obligations.warmUpNs"),
         }
     }
 
-    /// How many entries of a list are stated, counted up to the last with a known setting.
+    /// Returns the length of a list, counted up to the last entry with a known setting.
     fn list_length(&self, list: &str) -> usize {
         let index = |path: &String| {
             let rest = path.strip_prefix(list)?.strip_prefix('.')?;
@@ -286,7 +288,7 @@
         }
     }
 
-    /// A whole number; a negative one counts as 0.
+    /// Returns a number rounded towards 0; a negative number counts as 0.
     fn count(&self, path: &str) -> Option<usize> {
         self.number(path).map(|number| number as usize)
     }
@@ -295,12 +297,12 @@
         self.number(path).map(|number| number as Micros)
     }
 
-    /// Whether a flag is set; it is off if absent.
+    /// Returns a flag; `false` if absent.
     fn flag(&self, path: &str) -> bool {
         self.0.get(path) == Some(&Value::Flag(true))
     }
 
-    /// A text, empty if absent.
+    /// Returns a string; empty if absent.
     fn text(&self, path: &str) -> &str {
         match self.0.get(path) {
             Some(Value::Text(text)) => text,
@@ -309,7 +311,7 @@
     }
 }
 
-/// Walks the platform's settings and collects those that are known.
+/// Traverses the platform's settings and collects the known ones.
 #[derive(Default)]
 struct SettingsReader {
     settings: StatedSettings,
--- a/crates/settings-schema/src/start_times.rs
+++ b/crates/settings-schema/src/start_times.rs
@@ -1,69 +1,74 @@
-//! When nodes started, by the clock of this process. Discovery states starts by its own wall clock, and the wall clock of
-//! this machine may be wrong, so the two are reconciled by what is known for certain: no start lies in the future, and a
-//! start that discovery names for the first time came after the list before.
+//! Converts the start times of nodes to the clock of this process. Discovery reports start times by its own wall
+//! clock, and the wall clock of this machine may be wrong. The two are reconciled by two facts: no start time lies in
+//! the future, and a start time that discovery reports for the first time is later than the previous endpoint list.
 
 #[cfg(test)]
 mod tests;
 
 use balancer::Micros;
 
-/// How long after a change discovery may tell it at the latest, as the operators state it.
-const MAX_NOTICE_DELAY: Micros = 6_000_000;
+/// Longest time between a change and the endpoint list that contains it, as guaranteed by discovery's operators.
+const MAX_DISCOVERY_DELAY: Micros = 6_000_000;
 
-/// How far a time that discovery states may differ from this process's clock without showing that they differ: its
-/// resolution of a second, and the way of the response.
+/// Largest measured difference from discovery's clock that still counts as none: discovery sends its time with a
+/// resolution of one second, and the response takes time to arrive.
 const CLOCK_TOLERANCE: Micros = 3_000_000;
-/// Half of the resolution of a time that discovery states.
+
+/// Half of the resolution with which discovery sends its time.
 const HALF_RESOLUTION: Micros = 500_000;
 
-/// The start of a node.
+/// The start time of a node by both clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeStart {
-    /// As discovery states it, 0 for long ago.
+    /// Start time as reported by discovery; 0 if it is unknown and counts as long ago.
     reported: Micros,
-    /// By the clock of this process, 0 for long ago.
+    /// Start time by the clock of this process; 0 for long ago.
     started_at: Micros,
-    /// Whether the clocks had been compared when it was converted.
-    is_verified: bool,
+    /// Whether the offset between the clocks was known and applied.
+    uses_offset: bool,
 }
 
 impl NodeStart {
-    /// The start by the clock of this process, 0 for long ago.
+    /// Returns the start time by the clock of this process; 0 for long ago.
     pub fn started_at(&self) -> Micros {
         self.started_at
     }
 }
 
-/// Converts starts to the clock of this process.
+/// Converts the start times that discovery reports to the clock of this process.
 #[derive(Debug, Default)]
 pub struct StartTimes {
-    /// When discovery last sent a list.
+    /// Time of the last endpoint list; `None` before the first.
     last_list_at: Option<Micros>,
-    /// The least age of any node when it was named, by both clocks: how far the clock of this process may be ahead.
-    least_age: Option<Micros>,
-    /// How far the clock of this process is ahead of discovery's, once discovery has stated its time.
-    clock_ahead: Option<Micros>,
+    /// Least age of a node when its start time was first reported, by the local clock less any known offset. It limits
+    /// how far the clock of this process can be ahead of discovery's.
+    min_age: Option<Micros>,
+    /// Time by which the clock of this process is ahead of discovery's, 0 within the tolerance; `None` until discovery
+    /// has sent its time.
+    clock_offset: Option<Micros>,
 }
 
 impl StartTimes {
-    /// Notes the time that discovery states, in whole seconds.
+    /// Updates the offset between the clocks from the time that discovery sent, in microseconds but with a resolution
+    /// of one second.
     pub fn time_stated(&mut self, now: Micros, stated: Micros) {
-        let ahead = now - stated - HALF_RESOLUTION;
-        self.clock_ahead = Some(if ahead.abs() > CLOCK_TOLERANCE { ahead } else { 0 });
+        let offset = now - stated - HALF_RESOLUTION;
+        self.clock_offset = Some(if offset.abs() > CLOCK_TOLERANCE { offset } else { 0 });
     }
 
-    /// Notes that discovery has sent a list, all entries of which were converted.
+    /// Records that an endpoint list was received. Call it after the start times of all its entries were converted.
     pub fn list_received(&mut self, now: Micros) {
         self.last_list_at = Some(now);
     }
 
-    /// The start of a node that discovery names with this start; `previous` is what was known of it.
+    /// Converts the start time that discovery reports for a node, 0 if it reports none. `previous` is the result of the
+    /// node's previous conversion.
     pub fn convert(&mut self, now: Micros, reported: Micros, previous: Option<NodeStart>) -> NodeStart {
-        let age = now - self.clock_ahead.unwrap_or(0) - reported;
-        let is_verified = self.clock_ahead.is_some();
+        let age = now - self.clock_offset.unwrap_or(0) - reported;
+        let uses_offset = self.clock_offset.is_some();
         let started_at = match previous {
             Some(previous) if previous.reported == reported => {
-                if previous.is_verified || !is_verified || reported == 0 || self.clock_ahead == Some(0) {
+                if previous.uses_offset || !uses_offset || reported == 0 || self.clock_offset == Some(0) {
                     return previous;
                 }
                 now - age.max(0)
@@ -71,24 +76,24 @@
             _ if reported == 0 => previous.map_or(0, |previous| previous.started_at),
             _ => self.started_at(now, age, previous),
         };
-        NodeStart { reported, started_at, is_verified }
+        NodeStart { reported, started_at, uses_offset }
     }
 
     fn started_at(&mut self, now: Micros, age: Micros, previous: Option<NodeStart>) -> Micros {
-        let least_age = self.least_age.map_or(age, |least| least.min(age));
-        self.least_age = Some(least_age);
-        let longest_credible = self.last_list_at.map_or(Micros::MAX, |at| now - at + MAX_NOTICE_DELAY);
-        if (0..=longest_credible).contains(&age) {
+        let min_age = self.min_age.map_or(age, |previous_min| previous_min.min(age));
+        self.min_age = Some(min_age);
+        let max_plausible_age = self.last_list_at.map_or(Micros::MAX, |at| now - at + MAX_DISCOVERY_DELAY);
+        if (0..=max_plausible_age).contains(&age) {
             return now - age;
         }
-        // The clocks differ, or a node is named long after its start. A process that replaced another one is new; any
-        // other is as old as stated if the clocks were compared, or else older than the youngest, which may have started
-        // just now.
+        // The clocks differ, or a node is first listed long after its start. A process that replaced another one
+        // counts as started now. Any other has the reported age if the offset between the clocks is known. Otherwise
+        // its age is its difference in age from the youngest node, which may have started just now.
         let is_restart = previous.is_some_and(|previous| previous.reported != 0 || previous.started_at == 0);
-        match self.clock_ahead {
+        match self.clock_offset {
             _ if is_restart || age < 0 => now,
             Some(_) => now - age,
-            None => now - (age - least_age),
+            None => now - (age - min_age),
         }
     }
 }
--- a/crates/settings-schema/src/start_times/tests.rs
+++ b/crates/settings-schema/src/start_times/tests.rs
@@ -5,7 +5,7 @@
 const HOUR: Micros = 3_600 * SECOND;
 
 #[test]
-fn first_list_is_believed_except_for_starts_in_the_future() {
+fn first_list_keeps_reported_start_times_unless_they_lie_in_the_future() {
     let mut starts = StartTimes::default();
     assert_eq!(starts.convert(NOW, 0, None).started_at(), 0);
     assert_eq!(starts.convert(NOW, NOW - HOUR, None).started_at(), NOW - HOUR);
@@ -13,14 +13,14 @@
 }
 
 #[test]
-fn same_start_is_no_news() {
+fn unchanged_reported_start_time_keeps_its_conversion() {
     let mut starts = StartTimes::default();
     let start = starts.convert(NOW, NOW + HOUR, None);
     assert_eq!(starts.convert(NOW + SECOND, NOW + HOUR, Some(start)), start);
 }
 
 #[test]
-fn credible_start_is_believed() {
+fn plausible_start_time_is_kept_as_reported() {
     let mut starts = StartTimes::default();
     let start = starts.convert(NOW, 0, None);
     starts.list_received(NOW);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn restart_that_the_clocks_place_long_ago_or_in_the_future_is_one_of_now() {
+fn restart_with_a_start_time_long_ago_or_in_the_future_counts_as_now() {
     for reported in [NOW - HOUR, NOW + HOUR] {
         let mut starts = StartTimes::default();
         let start = starts.convert(NOW, NOW - HOUR / 2, None);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn node_named_long_after_its_start_is_older_than_the_youngest() {
+fn node_first_listed_long_after_its_start_is_dated_relative_to_the_youngest_node() {
     let mut starts = StartTimes::default();
     starts.convert(NOW, NOW - 3 * SECOND, None);
     starts.list_received(NOW);
@@ -50,34 +50,34 @@
 }
 
 #[test]
-fn clock_that_is_ahead_shows_in_the_youngest_node() {
+fn local_clock_that_is_ahead_is_corrected_by_the_age_of_the_youngest_node() {
     let mut starts = StartTimes::default();
     starts.convert(NOW, 0, None);
     starts.list_received(NOW);
-    // Both started within the last ten seconds; the clock is an hour ahead.
+    // Both nodes started within the last ten seconds; the local clock is an hour ahead.
     let now = NOW + 10 * SECOND;
     assert_eq!(starts.convert(now, now - HOUR, None).started_at(), now);
     assert_eq!(starts.convert(now, now - HOUR - 4 * SECOND, None).started_at(), now - 4 * SECOND);
 }
 
 #[test]
-fn stated_time_corrects_what_was_converted_without_it() {
+fn known_clock_offset_corrects_earlier_conversions() {
     let mut starts = StartTimes::default();
     let reported = NOW - HOUR;
     let start = starts.convert(NOW, reported, None);
-    // Discovery's clock is an hour behind this one, so the node has started just now.
+    // Discovery's clock is an hour behind the local clock, so the node has just started.
     starts.time_stated(NOW, NOW - HOUR);
     let corrected = starts.convert(NOW, reported, Some(start));
     assert!((NOW - SECOND..=NOW).contains(&corrected.started_at()), "{corrected:?}");
     assert_eq!(starts.convert(NOW + HOUR, reported, Some(corrected)), corrected);
-    // A node that is named late is as old as it is said to be.
+    // A node that is first listed long after its start has the reported age.
     starts.list_received(NOW);
     let old = starts.convert(NOW, NOW - 3 * HOUR, None).started_at();
     assert!((old - (NOW - 2 * HOUR)).abs() < SECOND);
 }
 
 #[test]
-fn stated_time_that_agrees_changes_nothing() {
+fn known_clock_offset_within_the_tolerance_changes_nothing() {
     let mut starts = StartTimes::default();
     let start = starts.convert(NOW, NOW - HOUR, None);
     starts.time_stated(NOW, NOW - SECOND);
--- a/crates/settings-schema/src/terms.rs
+++ b/crates/settings-schema/src/terms.rs
@@ -1,6 +1,6 @@
-//! The platform's terms for setting values and load metrics.
+//! Translation of the platform's terms for setting values and load metrics.
 
-/// Terms of the platform and the terms used here.
+/// Pairs of a term of the platform and its translation.
 const TERMS: &[(&str, &str)] = &[
     ("read_like", "idempotent"),
     ("request", "query"),
@@ -23,7 +23,7 @@
     ("eps", "errors_per_s"),
 ];
 
-/// The term used here for a term of the platform; a term that is not in the table stays as it is.
+/// Returns the translation of a term of the platform; a term that is not in the table is returned unchanged.
 pub(crate) fn translate(term: &str) -> &str {
-    TERMS.iter().find(|(platform, _)| *platform == term).map_or(term, |(_, ours)| ours)
+    TERMS.iter().find(|(platform, _)| *platform == term).map_or(term, |(_, translation)| translation)
 }
