--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,18 +1,18 @@
-//! What can be wrong with the operator's file.
+//! Errors of the operator's file.
 
 use std::fmt;
 
-/// Where a key stands in the operator's file.
+/// Location of a key in the operator's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyLocation {
-    /// The file's name.
+    /// Name of the file.
     pub file: String,
-    /// The line, counted from 1. For a key that the file lacks: the line of its section, or 1 without that
-    /// section.
+    /// Line number, counted from 1. For an absent key it is the line of its section, or 1 if that is absent as
+    /// well.
     pub line: usize,
-    /// The section's name.
+    /// Name of the section.
     pub section: String,
-    /// The key's name.
+    /// Name of the key.
     pub key: String,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl ConfigError {
-    /// What the system reported, if the file could not be read.
+    /// Returns the I/O error that prevented reading the file; `None` for any other error.
     pub fn io_error(&self) -> Option<&std::io::Error> {
         match self {
             ConfigError::Unreadable { cause, .. } => Some(cause),
@@ -32,98 +32,98 @@
     }
 }
 
-/// Why the operator's file cannot be used.
+/// Error in reading, parsing or validating the operator's file.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
-    #[error("{file}: {cause}")]
+    #[error("{file}: cannot be read: {cause}")]
     Unreadable {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// The error of the system.
+        /// The I/O error.
         #[source]
         cause: std::io::Error,
     },
-    /// The file is larger than an operator's file is expected to be.
-    #[error("{file}: {size} bytes are more than an operator's file may have, {limit}")]
+    /// The file exceeds the size limit.
+    #[error("{file}: the size of {size} bytes exceeds the limit of {limit} bytes")]
     TooLarge {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// Its size in bytes.
+        /// Size of the file in bytes.
         size: u64,
-        /// The size allowed.
+        /// Largest size allowed, in bytes.
         limit: u64,
     },
-    /// The text is not INI.
-    #[error("{file}:{line}: not INI: {}", cause.msg)]
+    /// The file has a syntax error.
+    #[error("{file}:{line}: invalid INI syntax: {}", cause.msg)]
     Syntax {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// The line, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// What the parser reports.
+        /// The error of the INI parser.
         #[source]
         cause: ini::ParseError,
     },
-    /// A section is opened twice.
-    #[error("{file}:{line}: [{section}] stands on line {first_line} already")]
+    /// A section header occurs twice.
+    #[error("{file}:{line}: [{section}]: duplicate section, first on line {first_line}")]
     DuplicateSection {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// The line that opens it again.
+        /// Line number of the second header.
         line: usize,
-        /// The section's name.
+        /// Name of the section.
         section: String,
-        /// The line that opens it first.
+        /// Line number of the first header.
         first_line: usize,
     },
-    /// A key stands before the first section.
-    #[error("{file}:{line}: {key}: it stands in no section")]
+    /// A key precedes the first section or follows a header without a name.
+    #[error("{file}:{line}: {key}: the key is outside any section")]
     KeyOutsideSection {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// The key's line.
+        /// Line number of the key.
         line: usize,
-        /// The key's name.
+        /// Name of the key.
         key: String,
     },
-    /// A section has a key twice.
-    #[error("{location}: it stands on line {first_line} already")]
+    /// A key occurs twice in a section.
+    #[error("{location}: duplicate key, first on line {first_line}")]
     DuplicateKey {
-        /// Where the key stands again.
+        /// Location of the second occurrence.
         location: KeyLocation,
-        /// The line on which it stands first.
+        /// Line number of the first occurrence.
         first_line: usize,
     },
-    /// No subsystem has a key of this name.
+    /// No subsystem reads this key.
     #[error("{0}: no such key")]
     UnknownKey(KeyLocation),
-    /// No subsystem has a section of this name.
+    /// No subsystem reads this section.
     #[error("{file}:{line}: [{section}]: no such section")]
     UnknownSection {
-        /// The file's name.
+        /// Name of the file.
         file: String,
-        /// The line that opens the section.
+        /// Line number of the section header.
         line: usize,
-        /// The section's name.
+        /// Name of the section.
         section: String,
     },
     /// A value cannot be parsed.
     #[error("{location}: '{value}' is not {expected}")]
     Malformed {
-        /// Where the key stands.
+        /// Location of the key.
         location: KeyLocation,
-        /// The value as it stands there.
+        /// The value found.
         value: String,
-        /// What it should be.
+        /// Description of a valid value, such as `on or off`.
         expected: &'static str,
     },
-    /// A subsystem does not accept a value, or needs one that is missing.
+    /// A subsystem rejects a value, or a required value is missing.
     #[error("{location}: {reason}")]
     Rejected {
-        /// Where the key stands.
+        /// Location of the key.
         location: KeyLocation,
-        /// Why the value is not accepted.
+        /// Why the value is rejected.
         reason: String,
     },
 }
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -1,4 +1,4 @@
-//! The file: its sections and their keys.
+//! Parses the file into sections and keys, and finds unknown ones.
 
 #[cfg(test)]
 mod tests;
@@ -8,56 +8,56 @@
 use ini::{Ini, ParseOption};
 use std::collections::BTreeMap;
 
-/// The largest file that is read, in bytes. Anything larger was hardly written by an operator.
+/// Size limit of the file in bytes. A larger file is most likely not an operator's file.
 const MAX_BYTES: u64 = 1 << 20;
 
-/// The sections that may stand in a file without a key.
+/// Sections that are known even if they have no keys.
 const KNOWN_SECTIONS: [&str; 2] = ["control", "log"];
 
-/// Which log lines are written.
+/// Lowest level at which log lines are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Changes of mode and failures.
+    /// Logs mode changes and failures.
     Info,
-    /// Single queries, attempts and connections as well.
+    /// Also logs individual queries, attempts and connections.
     Debug,
 }
 
-/// The form of the log lines.
+/// Format of the log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogFormat {
-    /// Lines for people.
+    /// Human-readable text.
     Text,
     /// One JSON object per line.
     Json,
 }
 
-/// The operator's file.
+/// A parsed operator's file, which records the keys that were read.
 #[derive(Debug)]
 pub struct ConfigFile {
     pub(crate) name: String,
     pub(crate) sections: BTreeMap<String, SectionContent>,
 }
 
-/// A section as it stands in the file.
+/// Content of one section.
 #[derive(Debug)]
 pub(crate) struct SectionContent {
-    /// The line that opens it.
+    /// Line number of the section header.
     pub line: usize,
     pub keys: BTreeMap<String, Entry>,
 }
 
-/// A key as it stands in the file.
+/// Value of one key and where it was set.
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub line: usize,
     pub value: String,
-    /// Whether a subsystem has taken it.
-    pub taken: bool,
+    /// Whether a subsystem has read the key.
+    pub is_read: bool,
 }
 
 impl ConfigFile {
-    /// Reads the file at `path`.
+    /// Reads and parses the file at `path`.
     pub fn read(path: &str) -> Result<ConfigFile, ConfigError> {
         let unreadable = |cause| ConfigError::Unreadable { file: path.to_string(), cause };
         let size = std::fs::metadata(path).map_err(unreadable)?.len();
@@ -68,7 +68,7 @@
         ConfigFile::parse(path, &text)
     }
 
-    /// Parses the text of a file; `name` stands for the file in errors.
+    /// Parses the text of a file. Errors refer to the file as `name`.
     pub fn parse(name: &str, text: &str) -> Result<ConfigFile, ConfigError> {
         let options = ParseOption { enabled_escape: false, enabled_quote: false, ..ParseOption::default() };
         let ini = Ini::load_from_str_opt(text, options).map_err(|cause| ConfigError::Syntax {
@@ -86,7 +86,7 @@
                 }
                 Content::Key(key) => {
                     let value = ini.get_from(Some(section), key).unwrap_or("").trim().to_string();
-                    file.add_key(section, key, Entry { line: line.number, value, taken: false })?;
+                    file.add_key(section, key, Entry { line: line.number, value, is_read: false })?;
                 }
             }
         }
@@ -108,7 +108,7 @@
 
     fn add_key(&mut self, section: &str, key: &str, entry: Entry) -> Result<(), ConfigError> {
         let line = entry.line;
-        // A header without a name opens no section.
+        // Keys under a header without a name belong to no section.
         let Some(content) = self.sections.get_mut(section).filter(|_| !section.is_empty()) else {
             return Err(ConfigError::KeyOutsideSection {
                 file: self.name.clone(),
@@ -129,12 +129,12 @@
         KeyLocation { file: self.name.clone(), line, section: section.to_string(), key: key.to_string() }
     }
 
-    /// The section of this name; one that the file lacks has no keys.
+    /// Returns the section of this name; an absent section has no keys.
     pub fn section<'a>(&'a mut self, name: &'a str) -> Section<'a> {
         Section::new(self, name)
     }
 
-    /// The key `format` of the section `log`: `text`, which is the default, or `json`.
+    /// Reads the key `format` of the section `log`: `text`, which is the default, or `json`.
     pub fn log_format(&mut self) -> Result<LogFormat, ConfigError> {
         let mut log = self.section("log");
         match log.text("format", "text")?.as_str() {
@@ -144,8 +144,8 @@
         }
     }
 
-    /// The key `level` of the section `log`: `info`, which is the default, or `debug`, which adds a line with ids for each
-    /// attempt that is repeated, query that is not answered in full and connection that ends.
+    /// Reads the key `level` of the section `log`: `info`, which is the default, or `debug`, which adds a line with ids
+    /// for each retried attempt, each query without a complete response and each closed connection.
     pub fn log_level(&mut self) -> Result<LogLevel, ConfigError> {
         let mut log = self.section("log");
         match log.text("level", "info")?.as_str() {
@@ -155,10 +155,10 @@
         }
     }
 
-    /// Reports the first key that no subsystem has taken, or a section without keys that no subsystem has.
-    /// Call it after every subsystem has taken its keys.
+    /// Returns an error for the first key that no subsystem has read or, if there is none, for an unknown section
+    /// without keys. Call it after every subsystem has read its keys.
     pub fn reject_unknown(&self) -> Result<(), ConfigError> {
-        if let Some(location) = self.first_key_not_taken() {
+        if let Some(location) = self.first_unread_key() {
             return Err(ConfigError::UnknownKey(location));
         }
         for (name, content) in &self.sections {
@@ -173,12 +173,12 @@
         Ok(())
     }
 
-    fn first_key_not_taken(&self) -> Option<KeyLocation> {
+    fn first_unread_key(&self) -> Option<KeyLocation> {
         let mut first: Option<KeyLocation> = None;
         for (section, content) in &self.sections {
             for (key, entry) in &content.keys {
                 let is_earlier = first.as_ref().is_none_or(|location| entry.line < location.line);
-                if !entry.taken && is_earlier {
+                if !entry.is_read && is_earlier {
                     first = Some(self.location(section, key, entry.line));
                 }
             }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,8 +1,8 @@
-//! The operator's configuration file: INI, one section per subsystem. Whatever the file does not set is off
-//! or has its default.
+//! The operator's configuration file, in INI format with one section per subsystem. A feature that the file does
+//! not enable is off, and a key that it does not set has its default.
 //!
-//! A subsystem takes the keys of its section one by one. A key that no subsystem has taken is unknown, which
-//! [`ConfigFile::reject_unknown`] reports. Each error names the file, the line, the section and the key.
+//! Each subsystem reads the keys of its section one by one. [`ConfigFile::reject_unknown`] reports a key that no
+//! subsystem has read. An error about a key names the file, the line, the section and the key.
 //!
 //! ```
 //! use std::time::Duration;
--- a/crates/operator-config/src/lines.rs
+++ b/crates/operator-config/src/lines.rs
@@ -1,21 +1,21 @@
-//! Finds the lines on which sections and keys stand, which the INI parser does not tell.
+//! Finds the line numbers of sections and keys, which the INI parser does not report.
 
-/// What a line of the file contains.
+/// Content of a line.
 pub(crate) enum Content<'a> {
-    /// Opens the section of this name.
+    /// The header of the section of this name.
     Section(&'a str),
-    /// Sets the key of this name in the section opened last.
+    /// Sets the key of this name in the current section.
     Key(&'a str),
 }
 
-/// A line that opens a section or sets a key.
+/// A line with a section header or a key.
 pub(crate) struct Line<'a> {
-    /// Counted from 1.
+    /// Line number, counted from 1.
     pub number: usize,
     pub content: Content<'a>,
 }
 
-/// The lines of `text` that open a section or set a key, in order.
+/// Returns the lines of `text` that contain a section header or a key, in order.
 pub(crate) fn lines(text: &str) -> impl Iterator<Item = Line<'_>> {
     let numbered = text.lines().enumerate();
     numbered.filter_map(|(index, line)| Some(Line { number: index + 1, content: content(line.trim())? }))
--- a/crates/operator-config/src/section.rs
+++ b/crates/operator-config/src/section.rs
@@ -1,4 +1,4 @@
-//! One section of the file, whose keys its subsystem takes.
+//! Typed access to the keys of one section.
 
 #[cfg(test)]
 mod tests;
@@ -9,7 +9,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The keys of one section, to be taken one by one.
+/// One section of the file. Each method that reads a key marks it as read for [`ConfigFile::reject_unknown`].
 #[derive(Debug)]
 pub struct Section<'a> {
     file: &'a mut ConfigFile,
@@ -33,20 +33,21 @@
         self.file.location(self.name, key, line)
     }
 
-    /// An error that names where `key` stands, or where it should.
+    /// Returns an error at the location of `key`, or at the header of the section if `key` is absent. The caller
+    /// uses it to reject a value, or the absence of one.
     pub fn rejected(&self, key: &str, reason: impl Into<String>) -> ConfigError {
         ConfigError::Rejected { location: self.location(key), reason: reason.into() }
     }
 
-    /// Takes the value of `key` as it stands in the file.
+    /// Returns the value of `key` without interpretation, and marks `key` as read; `None` if `key` is absent.
     pub fn take(&mut self, key: &str) -> Option<String> {
         let content = self.file.sections.get_mut(self.name)?;
         let entry = content.keys.get_mut(key)?;
-        entry.taken = true;
+        entry.is_read = true;
         Some(entry.value.clone())
     }
 
-    /// Takes the value of `key` and parses it; `expected` names what it should be.
+    /// Parses the value of `key`; `None` if `key` is absent. `expected` describes a valid value in the error.
     fn take_parsed<T>(
         &mut self, key: &str, expected: &'static str, parse: impl Fn(&str) -> Option<T>,
     ) -> Result<Option<T>, ConfigError> {
@@ -57,27 +58,28 @@
         }
     }
 
-    /// The text of `key`, or `default`.
+    /// Returns the value of `key` as text, or `default` if `key` is absent.
     pub fn text(&mut self, key: &str, default: &str) -> Result<String, ConfigError> {
         Ok(self.take(key).unwrap_or_else(|| default.to_string()))
     }
 
-    /// The value of `key` as [`FromStr`] reads it, such as a number or an address, or `default`; `expected`
-    /// names what it should be.
+    /// Parses the value of `key`, such as a number or an address, with [`FromStr`]; `default` if `key` is absent.
+    /// `expected` describes a valid value in the error.
     pub fn parsed<T: FromStr>(
         &mut self, key: &str, default: T, expected: &'static str,
     ) -> Result<T, ConfigError> {
         Ok(self.optional(key, expected)?.unwrap_or(default))
     }
 
-    /// The value of `key` as [`FromStr`] reads it, if it is set; `expected` names what it should be.
+    /// Parses the value of `key` with [`FromStr`]; `None` if `key` is absent. `expected` describes a valid value in
+    /// the error.
     pub fn optional<T: FromStr>(
         &mut self, key: &str, expected: &'static str,
     ) -> Result<Option<T>, ConfigError> {
         self.take_parsed(key, expected, |value| value.parse().ok())
     }
 
-    /// Whether `key` is `on`; it is off by default.
+    /// Returns a flag, `on` or `off`; `false` if `key` is absent.
     pub fn flag(&mut self, key: &str) -> Result<bool, ConfigError> {
         let flag = self.take_parsed(key, "on or off", |value| match value {
             "on" => Some(true),
@@ -87,17 +89,17 @@
         Ok(flag.unwrap_or(false))
     }
 
-    /// A time with its unit, such as `500ms`, or `default`.
+    /// Returns a duration with a unit, such as `500ms`; `default` if `key` is absent.
     pub fn duration(&mut self, key: &str, default: Duration) -> Result<Duration, ConfigError> {
-        let duration = self.take_parsed(key, "a time with its unit, such as 500ms", |value| {
+        let duration = self.take_parsed(key, "a duration with a unit, such as 500ms", |value| {
             humantime::parse_duration(value).ok()
         })?;
         Ok(duration.unwrap_or(default))
     }
 
-    /// A size with its unit, such as `64KiB`, in bytes, or `default`.
+    /// Returns a size with a unit, such as `64KiB`, in bytes; `default` if `key` is absent.
     pub fn size(&mut self, key: &str, default: u64) -> Result<u64, ConfigError> {
-        let size = self.take_parsed(key, "a size with its unit, such as 64KiB", |value| {
+        let size = self.take_parsed(key, "a size with a unit, such as 64KiB", |value| {
             value.parse::<ByteSize>().ok().map(|size| size.as_u64())
         })?;
         Ok(size.unwrap_or(default))
--- a/crates/operator-config/src/section/tests.rs
+++ b/crates/operator-config/src/section/tests.rs
@@ -7,16 +7,16 @@
 }
 
 #[test]
-fn values_carry_their_units() {
+fn durations_and_sizes_require_a_unit() {
     let mut file = file();
     let mut control = file.section("control");
     assert_eq!(
         control.duration("lease", Duration::ZERO).expect_err("no unit").to_string(),
-        "f:2: [control] lease: '5' is not a time with its unit, such as 500ms"
+        "f:2: [control] lease: '5' is not a duration with a unit, such as 500ms"
     );
     let error = control.size("burst", 0).expect_err("no size").to_string();
     assert!(error.starts_with("f:3: [control] burst: 'many'"));
-    assert_eq!(control.duration("limit", Duration::ZERO).expect("a time"), Duration::from_secs(70));
+    assert_eq!(control.duration("limit", Duration::ZERO).expect("a duration"), Duration::from_secs(70));
 }
 
 #[test]
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_error_on_an_absent_key_names_the_line_of_its_section() {
+fn error_about_an_absent_key_names_the_line_of_its_section() {
     let mut file = file();
     let error = file.section("control").rejected("gone", "it is missing");
     assert_eq!(error.to_string(), "f:1: [control] gone: it is missing");
