--- a/crates/simulator-adapter/src/codes.rs
+++ b/crates/simulator-adapter/src/codes.rs
@@ -1,48 +1,48 @@
-//! The names and codes of the simulator's protocol and what they stand for.
+//! Message names and codes of the simulator's protocol.
 
 use balancer::{AttemptOutcome, EndpointUpdate};
 
 /// A message from the simulator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A batch of events of one instant begins.
+    /// Starts a batch of events that happen at the same time.
     BatchStarted,
-    /// The batch is complete and wants a reply.
+    /// Ends the batch; the adapter replies to it.
     BatchEnded,
-    /// An endpoint list begins; its entries follow.
+    /// Starts an endpoint list; its entries follow.
     ListStarted,
     /// One entry of an endpoint list.
     ListEntry,
-    /// A router starts.
+    /// Starts a router.
     RouterStarted,
-    /// A router stops.
+    /// Stops a router.
     RouterStopped,
-    /// Discovery sent a router an endpoint list, or failed to.
+    /// Delivers an endpoint update, which may be a failed one, to a router.
     EndpointsUpdated,
-    /// Any other event at a router.
+    /// Reports any other event at a router.
     Event(Event),
 }
 
-/// An event at a router that concerns no endpoint list.
+/// An event at a router other than an endpoint update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A query or one of its shard requests has arrived.
+    /// A query or a shard request arrived.
     RequestArrived,
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded,
-    /// The response to an attempt has begun.
+    /// The response to an attempt started.
     ResponseStarted,
-    /// The client of a query has disconnected.
+    /// The client of a query disconnected.
     ClientDisconnected,
-    /// A timer has expired.
+    /// A timer expired.
     TimerExpired,
-    /// A health check has ended.
+    /// A health check ended.
     HealthCheckEnded,
-    /// Another router sent a gossip message.
+    /// A gossip message from another router arrived.
     GossipReceived,
 }
 
-/// The message of this name.
+/// Returns the message for a message name; `None` if the name is unknown.
 pub fn message(name: &str) -> Option<Message> {
     Some(match name {
         "TURN" => Message::BatchStarted,
@@ -63,7 +63,7 @@
     })
 }
 
-/// How an attempt or a health check ended.
+/// Returns the outcome of an attempt or a health check for its code; `None` if the code is unknown.
 pub fn attempt_outcome(code: &str) -> Option<AttemptOutcome> {
     Some(match code {
         "Ok" => AttemptOutcome::Succeeded,
@@ -78,7 +78,7 @@
     })
 }
 
-/// What an endpoint update contains.
+/// Returns the kind of endpoint update for its code; `None` if the code is unknown.
 pub fn endpoint_update(code: &str) -> Option<EndpointUpdate> {
     Some(match code {
         "diff" => EndpointUpdate::Incremental,
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,127 +1,127 @@
-//! What can be wrong with the simulator's input.
+//! Errors that end the adapter.
 
 use settings_schema::SettingsError;
 use std::io;
 use std::str::Utf8Error;
 
-/// Why the adapter ends.
+/// Error that ends the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum AdapterError {
     /// Standard input cannot be read.
-    #[error("standard input: {0}")]
+    #[error("cannot read standard input: {0}")]
     Input(#[source] io::Error),
     /// Standard output cannot be written.
-    #[error("standard output: {0}")]
+    #[error("cannot write standard output: {0}")]
     Output(#[source] io::Error),
     /// A line is not UTF-8.
-    #[error("line {line}: it is not UTF-8")]
+    #[error("line {line}: not valid UTF-8: {cause}")]
     NotUtf8 {
-        /// The line's number, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// Where it is not UTF-8.
+        /// Position of the invalid bytes.
         #[source]
         cause: Utf8Error,
     },
-    /// Input ended before the batch did.
-    #[error("line {line}: the input ended inside a batch")]
+    /// The input ended before the current batch did.
+    #[error("line {line}: the input ended inside a batch, before EOB")]
     EndedInsideBatch {
-        /// The number of the last line.
+        /// Number of the last line, counted from 1.
         line: usize,
     },
     /// A message cannot be handled.
     #[error("line {line}: {message}: {cause}")]
     Message {
-        /// The line's number, counted from 1.
+        /// Line number, counted from 1.
         line: usize,
-        /// The message's name.
+        /// Name of the message.
         message: String,
-        /// What is wrong with it.
+        /// The error in the message.
         #[source]
         cause: MessageError,
     },
 }
 
-/// What is wrong with a message.
+/// Error in a message.
 #[derive(Debug, thiserror::Error)]
 pub enum MessageError {
-    /// One of its fields is wrong.
+    /// A field is invalid.
     #[error("{field}: {cause}")]
     Field {
-        /// The field's name.
+        /// Name of the field.
         field: String,
-        /// What is wrong with it.
+        /// The error in the field.
         #[source]
         cause: FieldError,
     },
-    /// No message has this name.
+    /// The message name is unknown.
     #[error("unknown message")]
     Unknown,
-    /// Another message stands where entries of an endpoint list are due.
-    #[error("{remaining} more ITEM lines were due")]
+    /// Another message arrived before all entries of an endpoint list.
+    #[error("expected {remaining} more ITEM lines of the endpoint list")]
     EntriesMissing {
-        /// How many entries are still due.
+        /// Number of entries still expected.
         remaining: usize,
     },
-    /// An entry of an endpoint list stands outside of one.
-    #[error("no list has begun")]
+    /// An entry of an endpoint list arrived while none was expected.
+    #[error("no endpoint list expects an entry; a DIRECTORY line must precede")]
     NoListBegun,
-    /// A batch begins within another.
-    #[error("the batch before has not ended")]
+    /// A batch started inside another.
+    #[error("the previous batch has not ended; expected EOB")]
     BatchNotEnded,
-    /// It stands outside of a batch.
-    #[error("it stands outside a batch")]
+    /// A message other than the start of a batch arrived outside a batch.
+    #[error("outside a batch; expected TURN")]
     OutsideBatch,
 }
 
-/// What is wrong with a field.
+/// Error in a field.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
-    /// It is not of the form `name=value`.
-    #[error("has no '='")]
+    /// The field does not have the form `name=value`.
+    #[error("expected name=value, found no '='")]
     NoValue,
-    /// The message lacks it.
-    #[error("it is missing")]
+    /// A required field is absent.
+    #[error("required field is missing")]
     Missing,
-    /// Its value is not of the type required.
-    #[error("'{value}' is of the wrong type")]
+    /// The value is not a number of the required type.
+    #[error("'{value}' is not a number of the required type")]
     WrongType {
-        /// The value.
+        /// The value found.
         value: String,
     },
-    /// Its value is infinite or not a number.
-    #[error("it is not finite")]
+    /// The value is infinite or NaN.
+    #[error("expected a finite number")]
     NotFinite,
-    /// Its value is not a flag.
-    #[error("'{value}' is neither 1 nor 0")]
+    /// The value is not a flag.
+    #[error("expected 0 or 1, found '{value}'")]
     NotAFlag {
-        /// The value.
+        /// The value found.
         value: String,
     },
-    /// Its value is not a known code or name.
+    /// The value is not a known code, or not the name of a running router.
     #[error("'{value}' is unknown")]
     UnknownValue {
-        /// The value.
+        /// The value found.
         value: String,
     },
-    /// There is no endpoint list of this number.
-    #[error("{list} is unknown")]
+    /// No endpoint list has this number.
+    #[error("no endpoint list has the number {list}")]
     UnknownList {
-        /// The list's number.
+        /// Number of the endpoint list.
         list: usize,
     },
-    /// Its value is not a load report.
-    #[error("'{value}' is not pairs of name:number")]
+    /// The value is not a load report.
+    #[error("expected comma-separated name:number pairs, found '{value}'")]
     NotALoadReport {
-        /// The value.
+        /// The value found.
         value: String,
     },
-    /// Its value is not base64.
-    #[error("it is not base64")]
+    /// The value is not valid base64.
+    #[error("not valid base64: {0}")]
     NotBase64(#[source] base64::DecodeError),
-    /// Its value is not JSON.
-    #[error("{0}")]
+    /// The value is not valid JSON.
+    #[error("not valid JSON: {0}")]
     NotJson(#[source] serde_json::Error),
-    /// Its value does not hold settings.
+    /// The JSON value does not contain settings.
     #[error("{0}")]
     NotSettings(#[source] SettingsError),
 }
--- a/crates/simulator-adapter/src/host.rs
+++ b/crates/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The routers that run side by side, and the batches of events that the simulator sends them.
+//! Runs the routers of a simulation and passes each batch of events on to them.
 
 use crate::codes::{self, Event, Message};
 use crate::error::{AdapterError, FieldError, MessageError};
@@ -8,59 +8,62 @@
 use settings_schema::endpoint_state;
 use std::collections::BTreeMap;
 
-/// Ends each reply.
+/// Last line of each reply.
 const END_OF_REPLY: &[u8] = b"READY\n";
 
-/// The routers, and what has been read of the present batch.
+/// The running routers, the endpoint lists and the state of the current batch.
 #[derive(Default)]
 pub struct Host {
+    /// The running routers by name.
     instances: BTreeMap<String, Instance>,
+    /// The endpoint lists by number.
     endpoint_lists: BTreeMap<usize, Vec<ListedEndpoint>>,
-    /// The batch that is being read.
+    /// The current batch; `None` between batches.
     batch: Option<Batch>,
-    /// The endpoint list that is being read.
+    /// The endpoint list of which further entries are expected; `None` if all lists are complete.
     unfinished_list: Option<UnfinishedList>,
-    /// The reply to the batch that began last.
+    /// The reply to the current batch, or to the last one between batches.
     reply: Vec<u8>,
 }
 
-/// A batch of events of one instant.
+/// A batch of events that happen at the same time.
 struct Batch {
     now: Micros,
-    /// The routers with events, in the order of their first event.
+    /// Names of the routers with events, in the order of their first event.
     routers: Vec<String>,
 }
 
-/// An endpoint list whose entries follow.
+/// An endpoint list that is not complete yet.
 #[derive(Clone, Copy)]
 struct UnfinishedList {
     number: usize,
+    /// Number of entries still expected, at least 1.
     remaining: usize,
 }
 
-/// Whether a line ended its batch.
+/// State of the current batch after a line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchStatus {
-    /// More lines follow.
+    /// Further lines are expected before the reply.
     Unfinished,
     /// The reply to the batch is complete.
     Finished,
 }
 
 impl Host {
-    /// Whether a batch has begun and not ended.
+    /// Returns whether a batch started and has not ended.
     pub fn is_in_batch(&self) -> bool {
         self.batch.is_some()
     }
 
-    /// The reply to the batch that finished last.
+    /// Returns the reply; complete after [`BatchStatus::Finished`].
     pub fn reply(&self) -> &[u8] {
         &self.reply
     }
 
     /// Handles one line of input.
-    pub fn handle_line(&mut self, number: usize, text: &str) -> Result<BatchStatus, AdapterError> {
-        let line = Line::parse(number, text)?;
+    pub fn handle_line(&mut self, line_number: usize, text: &str) -> Result<BatchStatus, AdapterError> {
+        let line = Line::parse(line_number, text)?;
         let message = codes::message(line.message);
         if let Some(list) = self.unfinished_list {
             self.add_list_entry(message, &line, list)?;
@@ -87,7 +90,7 @@
         Ok(BatchStatus::Unfinished)
     }
 
-    /// Outside of a batch no other message may stand than one that starts a batch.
+    /// Starts a batch. Any other message outside a batch is an error.
     fn start_batch(&mut self, message: Option<Message>, line: &Line) -> Result<(), AdapterError> {
         if message != Some(Message::BatchStarted) {
             return Err(line.error(MessageError::OutsideBatch));
@@ -97,7 +100,7 @@
         Ok(())
     }
 
-    /// Lets each router with events decide.
+    /// Completes the reply with the decisions of each router that had events.
     fn end_batch(&mut self) {
         if let Some(batch) = self.batch.take() {
             for router in batch.routers {
@@ -189,7 +192,7 @@
     line.field_error("router", FieldError::UnknownValue { value: name.to_string() })
 }
 
-/// The endpoint list that a line names.
+/// Returns the endpoint list whose number is in the field `list`.
 fn listed_endpoints<'a>(
     lists: &'a BTreeMap<usize, Vec<ListedEndpoint>>, line: &Line,
 ) -> Result<&'a [ListedEndpoint], AdapterError> {
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,9 +1,9 @@
-//! One router: its balancer, and the ids that the simulator uses for what the balancer knows by index.
+//! One router: its balancer, and the mapping between the simulator's ids and the balancer's indices.
 
 use crate::codes::{self, Event};
 use crate::error::{AdapterError, FieldError};
 use crate::line::Line;
-use crate::reply::{NO_DATA, Released, Reply};
+use crate::reply::{EMPTY_DATA, Released, Reply};
 use balancer::{
     Actions, AttemptEnd, AttemptId, AttemptNumber, Balancer, Endpoint, EndpointState, EndpointUpdate, Events,
     HealthCheckEnd, LoadMetric, Micros, NodeId, QueryArrival, QueryId, Settings, ShardRequestArrival,
@@ -14,56 +14,57 @@
 use settings_schema::{IdInterner, parse_load_metrics, parse_settings};
 use std::collections::HashMap;
 
-/// Stands between name and value in a load report.
+/// Separator between name and value in a load report.
 const LOAD_SEPARATOR: char = ':';
 
 /// One entry of an endpoint list.
 pub struct ListedEndpoint {
-    /// The node's id.
+    /// Id of the node.
     pub node: String,
-    /// Index of its zone.
+    /// Index of the node's zone.
     pub zone: usize,
-    /// Index of the replica set that it belongs to.
+    /// Index of the replica set that the node belongs to.
     pub replica_set: usize,
-    /// Whether it may be used.
+    /// Endpoint state of the node: ready, draining or removed.
     pub state: EndpointState,
-    /// Its size relative to others.
+    /// Capacity of the node relative to other nodes.
     pub scale: f64,
-    /// When its process started, 0 for long ago.
+    /// Start time of the node's process; 0 for long ago.
     pub started_at: Micros,
 }
 
-/// A router.
+/// A router instance.
 pub struct Instance {
     name: String,
     balancer: Balancer,
     /// The simulator's ids of queries and shard requests, which share one range.
-    operations: IdInterner<u64>,
-    nodes: IdInterner<String>,
-    /// By the number that a query's shard requests name it by.
-    query_ids: HashMap<u64, QueryId>,
-    /// By index of the query.
+    request_ids: IdInterner<u64>,
+    node_ids: IdInterner<String>,
+    /// Queries by the number with which their shard requests refer to them.
+    queries_by_number: HashMap<u64, QueryId>,
+    /// Indexed by [`QueryId`].
     queries: Vec<Query>,
 }
 
-/// What is released with a query.
+/// State of a query that is needed to release its ids.
 #[derive(Default)]
 struct Query {
     number: u64,
     shard_requests: Vec<ShardRequestId>,
 }
 
-/// A query, or the request of a query to one shard.
+/// A query or a shard request as sent by the simulator.
 struct Request {
     id: u64,
     class: usize,
     tenant: usize,
     deadline: Micros,
     work: Micros,
+    /// Common to a query and its shard requests.
     query_number: u64,
-    /// `None` for a query.
+    /// Index of the shard; `None` for a query.
     shard: Option<usize>,
-    /// The weight of a shard request; for a query, how many shard requests follow.
+    /// The weight of a shard request; for a query, the number of its shard requests.
     weight: f64,
     is_retry: bool,
 }
@@ -77,7 +78,7 @@
             deadline: line.micros("validUntilNs")?,
             work: line.micros_or_zero("sizeHintNs")?,
             query_number: line.value("query")?,
-            // A negative number stands for no shard.
+            // A query has a negative number in place of a shard.
             shard: usize::try_from(line.value::<i64>("shard")?).ok(),
             weight: line.number("heft")?,
             is_retry: line.flag("retry")?,
@@ -100,27 +101,27 @@
 }
 
 impl Instance {
-    /// A router that starts with the seed and the settings of `line`.
+    /// Creates a router with the seed and the settings in the fields of `line`.
     pub fn new(name: &str, line: &Line) -> Result<Self, AdapterError> {
-        // Accepts the signed and the unsigned form of a 64-bit number.
+        // Accepts a 64-bit number in signed and in unsigned form.
         let seed = line.value::<i128>("nonce64")? as u64;
         Ok(Instance {
             name: name.to_string(),
             balancer: Balancer::new(seed, settings(line)?),
-            operations: IdInterner::default(),
-            nodes: IdInterner::default(),
-            query_ids: HashMap::new(),
+            request_ids: IdInterner::default(),
+            node_ids: IdInterner::default(),
+            queries_by_number: HashMap::new(),
             queries: Vec::new(),
         })
     }
 
     /// Calls the balancer, writes its actions to `output` and releases the ids that it no longer uses.
     fn with_actions(&mut self, output: &mut Vec<u8>, call: impl FnOnce(&mut Balancer, &mut dyn Actions)) {
-        let mut reply = Reply::new(&self.name, &self.operations, &self.nodes, output);
+        let mut reply = Reply::new(&self.name, &self.request_ids, &self.node_ids, output);
         call(&mut self.balancer, &mut reply);
         let Released { queries, nodes } = reply.released();
         for node in nodes {
-            self.nodes.release(node.0);
+            self.node_ids.release(node.0);
         }
         for query in queries {
             self.release_query(query);
@@ -130,21 +131,21 @@
     fn release_query(&mut self, id: QueryId) {
         let Some(entry) = self.queries.get_mut(id.0) else { return };
         let query = std::mem::take(entry);
-        self.query_ids.remove(&query.number);
+        self.queries_by_number.remove(&query.number);
         for shard_request in query.shard_requests {
-            self.operations.release(shard_request.0);
+            self.request_ids.release(shard_request.0);
         }
-        self.operations.release(id.0);
+        self.request_ids.release(id.0);
     }
 
-    /// Reports an endpoint update.
+    /// Reports an endpoint update to the balancer and writes its actions to `output`.
     pub fn endpoints_updated(
         &mut self, now: Micros, update: EndpointUpdate, endpoints: &[ListedEndpoint], output: &mut Vec<u8>,
     ) {
         self.balancer.endpoint_update_started(now, update);
         for listed in endpoints {
             let endpoint = Endpoint {
-                node: NodeId(self.nodes.intern(listed.node.clone())),
+                node: NodeId(self.node_ids.intern(listed.node.clone())),
                 zone: listed.zone,
                 replica_set: listed.replica_set,
                 state: listed.state,
@@ -156,12 +157,12 @@
         self.with_actions(output, |balancer, actions| balancer.endpoint_update_finished(now, actions));
     }
 
-    /// Lets the balancer decide.
+    /// Runs the balancer's decisions and writes its actions to `output`.
     pub fn decide(&mut self, now: Micros, output: &mut Vec<u8>) {
         self.with_actions(output, |balancer, actions| balancer.decide(now, actions));
     }
 
-    /// Reports an event.
+    /// Reports an event to the balancer. Its actions follow with [`Instance::decide`].
     pub fn handle_event(&mut self, now: Micros, event: Event, line: &Line) -> Result<(), AdapterError> {
         match event {
             Event::RequestArrived => self.request_arrived(now, line),
@@ -184,12 +185,12 @@
     }
 
     fn query_arrived(&mut self, now: Micros, request: &Request) {
-        let query = QueryId(self.operations.intern(request.id));
+        let query = QueryId(self.request_ids.intern(request.id));
         if self.queries.len() <= query.0 {
             self.queries.resize_with(query.0 + 1, Query::default);
         }
         self.queries[query.0] = Query { number: request.query_number, shard_requests: Vec::new() };
-        self.query_ids.insert(request.query_number, query);
+        self.queries_by_number.insert(request.query_number, query);
         let arrival = QueryArrival {
             query,
             class: request.class,
@@ -202,25 +203,25 @@
         self.balancer.query_arrived(now, &arrival);
     }
 
-    /// A shard request of a query that is not known, or has ended, is ignored.
+    /// Ignores a shard request whose query is unknown or was released.
     fn shard_request_arrived(&mut self, now: Micros, request: &Request, shard: usize) {
-        let Some(&query) = self.query_ids.get(&request.query_number) else { return };
-        let shard_request = ShardRequestId(self.operations.intern(request.id));
+        let Some(&query) = self.queries_by_number.get(&request.query_number) else { return };
+        let shard_request = ShardRequestId(self.request_ids.intern(request.id));
         self.queries[query.0].shard_requests.push(shard_request);
         let arrival =
             ShardRequestArrival { shard_request, query, shard, weight: request.weight, work: request.work };
         self.balancer.shard_request_arrived(now, &arrival);
     }
 
-    /// The attempt and the node that a line names; `None` if the shard request or the node is not known any
-    /// more.
+    /// Returns the attempt and the node to which a line refers; `None` if the shard request or the node was
+    /// released.
     fn attempt(&self, line: &Line) -> Result<Option<(AttemptId, NodeId)>, AdapterError> {
         let number = AttemptNumber(line.value("trial")?);
-        let operation = self.operations.find(&line.value::<u64>("opId")?);
-        let node = self.nodes.find(line.text("node")?);
-        Ok(operation
+        let request = self.request_ids.find(&line.value::<u64>("opId")?);
+        let node = self.node_ids.find(line.text("node")?);
+        Ok(request
             .zip(node)
-            .map(|(operation, node)| (AttemptId::new(ShardRequestId(operation), number), NodeId(node))))
+            .map(|(request, node)| (AttemptId::new(ShardRequestId(request), number), NodeId(node))))
     }
 
     fn attempt_ended(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
@@ -246,8 +247,8 @@
     }
 
     fn client_disconnected(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
-        if let Some(operation) = self.operations.find(&line.value::<u64>("opId")?) {
-            self.balancer.client_disconnected(now, QueryId(operation));
+        if let Some(request) = self.request_ids.find(&line.value::<u64>("opId")?) {
+            self.balancer.client_disconnected(now, QueryId(request));
         }
         Ok(())
     }
@@ -261,7 +262,7 @@
         let outcome = line.code("disposition", codes::attempt_outcome)?;
         let latency = line.micros("lagNs")?;
         let load = load_metrics(line)?;
-        if let Some(node) = self.nodes.find(line.text("node")?) {
+        if let Some(node) = self.node_ids.find(line.text("node")?) {
             let end = HealthCheckEnd { node: NodeId(node), outcome, latency, load: &load };
             self.balancer.health_check_ended(now, &end);
         }
@@ -270,7 +271,7 @@
 
     fn gossip_received(&mut self, now: Micros, line: &Line) -> Result<(), AdapterError> {
         let data = match line.text("data")? {
-            NO_DATA => Vec::new(),
+            EMPTY_DATA => Vec::new(),
             text => {
                 BASE64.decode(text).map_err(|cause| line.field_error("data", FieldError::NotBase64(cause)))?
             }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs many routers on the simulator's protocol: batches of events on standard input, one reply to each on
-//! standard output. It only translates; the decisions are in the crate `balancer`.
+//! Runs many routers on the simulator's protocol: reads batches of events from standard input and writes one reply
+//! per batch to standard output. This crate only translates; the decisions are made in the crate `balancer`.
 
 mod codes;
 mod error;
@@ -13,27 +13,27 @@
 use std::io::{BufRead, Write};
 use std::process::ExitCode;
 
-/// Answers batches until the input ends.
+/// Replies to batches until the end of the input.
 fn run(mut input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut bytes = Vec::new();
-    let mut number = 0;
+    let mut line_number = 0;
     loop {
         bytes.clear();
         if input.read_until(b'\n', &mut bytes).map_err(AdapterError::Input)? == 0 {
             break;
         }
-        number += 1;
-        let line =
-            std::str::from_utf8(&bytes).map_err(|cause| AdapterError::NotUtf8 { line: number, cause })?;
+        line_number += 1;
+        let line = std::str::from_utf8(&bytes)
+            .map_err(|cause| AdapterError::NotUtf8 { line: line_number, cause })?;
         let line = line.trim_end_matches(['\n', '\r']);
-        if !line.is_empty() && host.handle_line(number, line)? == BatchStatus::Finished {
+        if !line.is_empty() && host.handle_line(line_number, line)? == BatchStatus::Finished {
             output.write_all(host.reply()).map_err(AdapterError::Output)?;
             output.flush().map_err(AdapterError::Output)?;
         }
     }
     if host.is_in_batch() {
-        return Err(AdapterError::EndedInsideBatch { line: number });
+        return Err(AdapterError::EndedInsideBatch { line: line_number });
     }
     Ok(())
 }
--- a/crates/simulator-adapter/src/reply.rs
+++ b/crates/simulator-adapter/src/reply.rs
@@ -1,4 +1,4 @@
-//! Writes what the balancer asks for as lines of the simulator's protocol.
+//! Writes the balancer's actions as lines of the simulator's protocol.
 
 use crate::line::NANOSECONDS_PER_MICROSECOND;
 use balancer::{Actions, AttemptId, Completion, Micros, NodeId, QueryId, ShardRequestId};
@@ -8,61 +8,68 @@
 use std::fmt::Arguments;
 use std::io::Write;
 
-/// Stands for an empty gossip message; no base64 text contains it.
-pub const NO_DATA: &str = "-";
+/// Placeholder for an empty gossip message; `-` does not occur in standard base64.
+pub const EMPTY_DATA: &str = "-";
 
-/// The lines that the balancer's actions become, and the ids that it has released.
+/// Writes the balancer's actions to `output` and collects the ids that the balancer releases.
 pub struct Reply<'a> {
     router: &'a str,
-    operations: &'a IdInterner<u64>,
-    nodes: &'a IdInterner<String>,
+    request_ids: &'a IdInterner<u64>,
+    node_ids: &'a IdInterner<String>,
     output: &'a mut Vec<u8>,
     released_queries: Vec<QueryId>,
     released_nodes: Vec<NodeId>,
 }
 
-/// The ids that the balancer no longer uses.
+/// The queries and nodes whose ids the balancer released.
 pub struct Released {
     pub queries: Vec<QueryId>,
     pub nodes: Vec<NodeId>,
 }
 
 impl<'a> Reply<'a> {
-    /// A reply of `router` that is written to `output`.
+    /// Creates a reply of `router` that appends to `output`.
     pub fn new(
-        router: &'a str, operations: &'a IdInterner<u64>, nodes: &'a IdInterner<String>,
+        router: &'a str, request_ids: &'a IdInterner<u64>, node_ids: &'a IdInterner<String>,
         output: &'a mut Vec<u8>,
     ) -> Self {
-        Reply { router, operations, nodes, output, released_queries: Vec::new(), released_nodes: Vec::new() }
+        Reply {
+            router,
+            request_ids,
+            node_ids,
+            output,
+            released_queries: Vec::new(),
+            released_nodes: Vec::new(),
+        }
     }
 
-    /// The ids that were released while the reply was written.
+    /// Returns the ids that were released while the reply was written.
     pub fn released(self) -> Released {
         Released { queries: self.released_queries, nodes: self.released_nodes }
     }
 
     fn write_line(&mut self, message: &str, fields: Arguments) {
-        // Writing to a vector does not fail.
+        // Writing to a vector cannot fail.
         let _ = writeln!(self.output, "{message}\trouter={}{fields}", self.router);
     }
 
-    /// A line about a query or a shard request; none if its id is not held any more.
-    fn write_operation_line(&mut self, message: &str, operation: usize, fields: Arguments) {
-        if let Some(&id) = self.operations.key(operation) {
+    /// Writes a line about a query or a shard request; writes nothing if its id was released.
+    fn write_request_line(&mut self, message: &str, request: usize, fields: Arguments) {
+        if let Some(&id) = self.request_ids.key(request) {
             self.write_line(message, format_args!("\topId={id}{fields}"));
         }
     }
 
     fn write_query_line(&mut self, message: &str, query: QueryId, fields: Arguments) {
-        self.write_operation_line(message, query.0, fields);
+        self.write_request_line(message, query.0, fields);
     }
 
     fn write_shard_request_line(&mut self, message: &str, shard_request: ShardRequestId, fields: Arguments) {
-        self.write_operation_line(message, shard_request.0, fields);
+        self.write_request_line(message, shard_request.0, fields);
     }
 
     fn write_node_line(&mut self, message: &str, node: NodeId) {
-        if let Some(id) = self.nodes.key(node.0) {
+        if let Some(id) = self.node_ids.key(node.0) {
             self.write_line(message, format_args!("\tnode={id}"));
         }
     }
@@ -74,7 +81,7 @@
 
 impl Actions for Reply<'_> {
     fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>) {
-        if let Some(id) = self.nodes.key(node.0) {
+        if let Some(id) = self.node_ids.key(node.0) {
             let timeout = nanoseconds(timeout.unwrap_or(0));
             let fields = format_args!("\tnode={id}\tallowForNs={timeout}");
             self.write_shard_request_line("FORWARD", shard_request, fields);
@@ -128,7 +135,7 @@
 
     fn send_gossip(&mut self, peer: Option<usize>, data: &[u8]) {
         let destination = peer.map_or("all".to_string(), |peer| peer.to_string());
-        let data = if data.is_empty() { NO_DATA.to_string() } else { BASE64.encode(data) };
+        let data = if data.is_empty() { EMPTY_DATA.to_string() } else { BASE64.encode(data) };
         self.write_line("MEMO_TO", format_args!("\tdest={destination}\tdata={data}"));
     }
 
--- a/crates/simulator-adapter/tests/transcript.rs
+++ b/crates/simulator-adapter/tests/transcript.rs
@@ -1,4 +1,4 @@
-//! Hand-written input for the binary: what it answers, and lines that it must reject.
+//! Runs the binary on hand-written input and checks its replies and its errors.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -10,7 +10,7 @@
 ROSTER_CHANGE\trouter=router-1\tlist=0\thow=disk\trevision=1\n\
 EOB\n";
 
-/// Runs the binary on `input`: its output, its errors, and whether it succeeded.
+/// Runs the binary on `input`. Returns its standard output, its standard error, and whether it succeeded.
 fn run(input: &str) -> (String, String, bool) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
@@ -19,7 +19,7 @@
         .spawn()
         .expect("the binary starts");
     let mut stdin = child.stdin.take().expect("a pipe");
-    // The binary may end before it has read everything.
+    // Writing fails if the binary exits on an error before it has read the whole input.
     let _ = stdin.write_all(input.as_bytes());
     drop(stdin);
     let output = child.wait_with_output().expect("the binary ends");
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_query_is_served_and_the_end_of_input_is_a_clean_exit() {
+fn query_is_completed_and_the_end_of_the_input_is_a_clean_exit() {
     let input = format!(
         "{START}TURN\tatTimeNs=6000000000\n\
          ACCEPT\trouter=router-1\topId=40\tlane=0\tquery=1\tshard=-1\theft=1\tvalidUntilNs=9000000000\n\
@@ -57,16 +57,19 @@
 }
 
 #[test]
-fn bad_lines_are_named_and_end_the_program() {
+fn invalid_line_is_reported_and_ends_the_program() {
     let cases = [
-        ("VERDICT\trouter=router-1\ttrial=x\n", "line 8: VERDICT: trial: 'x' is of the wrong type"),
-        ("TICK_DUE\trouter=router-1\n", "line 8: TICK_DUE: cookie: it is missing"),
+        (
+            "VERDICT\trouter=router-1\ttrial=x\n",
+            "line 8: VERDICT: trial: 'x' is not a number of the required type",
+        ),
+        ("TICK_DUE\trouter=router-1\n", "line 8: TICK_DUE: cookie: required field is missing"),
         ("TICK_DUE\trouter=router-2\tcookie=1\n", "router: 'router-2' is unknown"),
         ("SURPRISE\trouter=router-1\n", "line 8: SURPRISE: unknown message"),
-        ("ROSTER_CHANGE\trouter=router-1\tlist=3\thow=diff\n", "list: 3 is unknown"),
-        ("DIRECTORY\tlist=0\trows=2\nEOB\n", "2 more ITEM lines were due"),
-        ("INIT\trouter=router-1\tnonce64=7\tbootInfo={\n", "line 8: INIT: bootInfo: EOF"),
-        ("", "the input ended inside a batch"),
+        ("ROSTER_CHANGE\trouter=router-1\tlist=3\thow=diff\n", "list: no endpoint list has the number 3"),
+        ("DIRECTORY\tlist=0\trows=2\nEOB\n", "expected 2 more ITEM lines of the endpoint list"),
+        ("INIT\trouter=router-1\tnonce64=7\tbootInfo={\n", "line 8: INIT: bootInfo: not valid JSON: EOF"),
+        ("", "the input ended inside a batch, before EOB"),
     ];
     for (line, message) in cases {
         let (_, errors, succeeded) = run(&format!("{START}TURN\tatTimeNs=6000000000\n{line}"));
@@ -74,7 +77,8 @@
     }
 }
 
-/// A start with 340 nodes that each hold every shard, and a query of 200 shard requests.
+/// Returns a batch with a query of 200 shard requests after a start with 340 nodes, each of which serves every shard.
+/// The batch ends with the lines in `extra`.
 fn large_batch(extra: &str) -> String {
     let mut input = START.replace("\"sets\":1", "\"sets\":340").replace("\"width\":1", "\"width\":340");
     let rows: String = (1..340)
@@ -92,15 +96,18 @@
 }
 
 #[test]
-fn a_fan_out_of_200_shard_requests_over_340_nodes_is_sent_completely() {
+fn all_200_shard_requests_of_a_query_are_sent_to_340_nodes() {
     let (output, errors, succeeded) = run(&large_batch(""));
     assert!(succeeded, "{errors}");
     assert_eq!(output.lines().filter(|line| line.starts_with("FORWARD")).count(), 200);
 }
 
 #[test]
-fn a_bad_line_in_a_large_batch_is_named_too() {
+fn invalid_line_in_a_large_batch_is_reported_with_its_number() {
     let (_, errors, succeeded) =
         run(&large_batch("VERDICT\trouter=router-1\topId=7\ttrial=0\tnode=x\tlagNs=z\n"));
-    assert!(!succeeded && errors.contains("line 548: VERDICT: lagNs: 'z' is of the wrong type"), "{errors}");
+    assert!(
+        !succeeded && errors.contains("line 548: VERDICT: lagNs: 'z' is not a number of the required type"),
+        "{errors}"
+    );
 }
