--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -4,20 +4,20 @@
 use argh::FromArgs;
 use control_plane::Options;
 
-/// Read a configuration and the operator's file and say what is wrong with them.
+/// Check the platform's configuration and the operator's file, and report the first error.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 pub struct Check {
-    /// the configuration, $LB_CONFIG unless stated
+    /// path of the platform's configuration (default: $LB_CONFIG)
     #[argh(option)]
     config: Option<String>,
-    /// the operator's file, $YEWPIER_OPERATOR unless stated
+    /// path of the operator's file (default: $YEWPIER_OPERATOR)
     #[argh(option)]
     operator: Option<String>,
 }
 
 impl Check {
-    /// Checks both files and prints that they can be served with.
+    /// Checks both files. Prints the name of the configuration if both are valid.
     pub fn run(self) -> Result<(), CliError> {
         let mut file = read_operator_file(self.operator)?;
         file.log_format()?;
@@ -25,7 +25,7 @@
         Options::read(&mut file.section("control")).map_err(CliError::control_plane)?;
         file.reject_unknown()?;
         let (config, _) = read_configuration(self.config)?;
-        println!("{}: fit to serve", config.name);
+        println!("{}: the configuration is valid", config.name);
         Ok(())
     }
 }
--- a/crates/cli/src/control.rs
+++ b/crates/cli/src/control.rs
@@ -6,29 +6,29 @@
 use query_router::config::Config;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Serve decisions to other proxies through xDS until a signal asks for the shutdown.
+/// Serve routing decisions to other proxies over xDS until a signal requests shutdown.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "control")]
 pub struct Control {
-    /// the configuration, $LB_CONFIG unless stated
+    /// path of the platform's configuration (default: $LB_CONFIG)
     #[argh(option)]
     config: Option<String>,
-    /// the operator's file, $YEWPIER_OPERATOR unless stated; its section [control] names where to listen
+    /// path of the operator's file (default: $YEWPIER_OPERATOR); its section [control] sets the listen address
     #[argh(option)]
     operator: Option<String>,
-    /// print the resources that a proxy would get, as JSON, by the list in the configuration; serve nothing
+    /// print the resources for one proxy as JSON, with the endpoints listed in the configuration, and exit
     #[argh(switch)]
     dump: bool,
-    /// the proxy's id, with --dump
+    /// id of the proxy for --dump (default: dump)
     #[argh(option, default = "String::from(\"dump\")")]
     node_id: String,
-    /// the proxy's zone, with --dump
+    /// zone of the proxy for --dump (default: none)
     #[argh(option, default = "String::new()")]
     zone: String,
 }
 
 impl Control {
-    /// Serves until a signal asks for the shutdown, or prints a proxy's resources.
+    /// Serves until a signal requests shutdown or, with `--dump`, prints the resources for one proxy.
     pub fn run(self) -> Result<(), CliError> {
         let mut file = read_operator_file(self.operator.clone())?;
         log_to_stderr(&mut file)?;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,33 +1,33 @@
-//! Errors that end the program. Each is printed as one line.
+//! Errors that end the program. `main` prints them to standard error.
 
 use query_router::ServeError;
 use query_router::config::ConfigFileError;
 
-/// Why a sub-command failed.
+/// Error of a sub-command.
 #[derive(Debug, thiserror::Error)]
 pub enum CliError {
-    /// The command line and the environment name no configuration.
-    #[error("neither --config nor LB_CONFIG names a configuration")]
+    /// Neither the command line nor the environment sets the path of the configuration.
+    #[error("no configuration file: use --config or set LB_CONFIG")]
     NoConfiguration,
-    /// The configuration cannot be used.
+    /// The platform's configuration is unreadable or invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigFileError),
-    /// The operator's file cannot be used.
+    /// The operator's file is unreadable or invalid.
     #[error(transparent)]
     OperatorFile(#[from] operator_config::ConfigError),
-    /// The query router cannot serve.
+    /// The query router failed to start or to serve.
     #[error(transparent)]
     Serve(#[from] ServeError),
-    /// The control plane cannot serve, or cannot say what it would serve.
+    /// The control plane has invalid options, failed to serve or could not list its resources.
     #[error("{0}")]
     ControlPlane(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The resources cannot be printed as JSON.
+    /// The resources could not be converted to JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
 impl CliError {
-    /// What the system reported, if the operator's file could not be read.
+    /// Returns the I/O error that prevented reading the operator's file; `None` for any other error.
     pub fn operator_file_io_error(&self) -> Option<&std::io::Error> {
         match self {
             CliError::OperatorFile(error) => error.io_error(),
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Wraps an error of the control plane.
+    /// Converts an error of the control plane.
     pub fn control_plane(error: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> CliError {
         CliError::ControlPlane(error.into())
     }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,4 @@
-//! The command line: the query router, the control plane, and a check of their configuration. Each
-//! sub-command has a file of its own.
+//! Command line of the query router and the control plane. Each sub-command has a module of its own.
 
 mod check;
 mod control;
@@ -13,7 +12,7 @@
 use query_router::config::Config;
 use std::process::ExitCode;
 
-/// A query router that answers each query from many shards.
+/// Query router, which fans queries out to shards, and its control plane.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -29,19 +28,19 @@
     Version(version::Version),
 }
 
-/// The path of the platform's configuration: `path`, or else what `$LB_CONFIG` says.
+/// Returns the path of the platform's configuration: `path`, or the value of `$LB_CONFIG` if `path` is absent.
 fn configuration_path(path: Option<String>) -> Result<String, CliError> {
     path.or_else(|| std::env::var("LB_CONFIG").ok()).ok_or(CliError::NoConfiguration)
 }
 
-/// Reads the platform's configuration. Returns it with its path.
+/// Reads the platform's configuration and returns it with its path.
 fn read_configuration(path: Option<String>) -> Result<(Config, String), CliError> {
     let path = configuration_path(path)?;
     Ok((Config::read(&path)?, path))
 }
 
-/// Reads the operator's file from `path`, or else from where `$YEWPIER_OPERATOR` says. Without either,
-/// everything that the file could enable is off.
+/// Reads the operator's file from `path`, or from the path in `$YEWPIER_OPERATOR` if `path` is absent. Without
+/// either, the file counts as empty, which disables all optional features.
 fn read_operator_file(path: Option<String>) -> Result<ConfigFile, CliError> {
     let file = match path.or_else(|| std::env::var("YEWPIER_OPERATOR").ok()) {
         Some(path) => ConfigFile::read(&path),
@@ -50,7 +49,7 @@
     Ok(file?)
 }
 
-/// Has log lines written to standard error, in the format that the operator's file states.
+/// Initializes logging to standard error with the level and the format set in the operator's file.
 fn log_to_stderr(file: &mut ConfigFile) -> Result<(), CliError> {
     let level = match file.log_level()? {
         LogLevel::Info => tracing::Level::INFO,
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,20 +3,20 @@
 use crate::{CliError, configuration_path, log_to_stderr, read_operator_file};
 use argh::FromArgs;
 
-/// Serve queries on sockets until a signal asks for the shutdown.
+/// Serve queries until a signal requests shutdown.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 pub struct Serve {
-    /// the configuration, $LB_CONFIG unless stated
+    /// path of the platform's configuration (default: $LB_CONFIG)
     #[argh(option)]
     config: Option<String>,
-    /// the operator's file, $YEWPIER_OPERATOR unless stated; without one all that it sets is off
+    /// path of the operator's file (default: $YEWPIER_OPERATOR); without it, all optional features are off
     #[argh(option)]
     operator: Option<String>,
 }
 
 impl Serve {
-    /// Serves until a signal asks for the shutdown.
+    /// Serves until a signal requests shutdown.
     pub fn run(self) -> Result<(), CliError> {
         let signals = query_router::install_signal_handlers()?;
         let read_file = || read_operator_file(self.operator.clone());
--- a/crates/cli/src/version.rs
+++ b/crates/cli/src/version.rs
@@ -9,7 +9,7 @@
 pub struct Version {}
 
 impl Version {
-    /// Prints the name and the version of the program.
+    /// Prints the program's name and version.
     pub fn run(self) -> Result<(), CliError> {
         println!("query-router {}", env!("CARGO_PKG_VERSION"));
         Ok(())
