--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -44,7 +44,7 @@
 fn read_operator_file(path: Option<String>) -> Result<ConfigFile, CliError> {
     let file = match path.or_else(|| std::env::var("YEWPIER_OPERATOR").ok()) {
         Some(path) => ConfigFile::read(&path),
-        None => ConfigFile::parse("no operator's file", ""),
+        None => ConfigFile::parse("<no operator's file>", ""),
     };
     Ok(file?)
 }
--- a/crates/settings-schema/src/endpoints.rs
+++ b/crates/settings-schema/src/endpoints.rs
@@ -34,7 +34,7 @@
     pub replica_set: usize,
     /// Endpoint state of the node: ready, draining or removed.
     pub state: EndpointState,
-    /// Capacity of the node relative to other nodes; 1 if absent.
+    /// Size of the node relative to other nodes; 1 if absent.
     pub scale: f64,
     /// Start time of the node's process by discovery's wall clock, in microseconds; 0 if absent.
     pub reported_start: Micros,
--- a/crates/settings-schema/src/settings.rs
+++ b/crates/settings-schema/src/settings.rs
@@ -113,7 +113,7 @@
     "zones.#",
 ];
 
-/// Why the platform's settings cannot be read.
+/// Error in reading the platform's settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The JSON value is an array or a scalar.
@@ -126,7 +126,7 @@
 ///
 /// # Errors
 ///
-/// [`SettingsError::NotAnObject`] if `json` is no object.
+/// [`SettingsError::NotAnObject`] if `json` is not an object.
 pub fn parse_settings(json: &Json) -> Result<Settings, SettingsError> {
     Ok(StatedSettings::parse(json)?.to_settings())
 }
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError::NotAnObject`] if `json` is no object.
+    /// [`SettingsError::NotAnObject`] if `json` is not an object.
     pub fn parse(json: &Json) -> Result<StatedSettings, SettingsError> {
         if !json.is_object() {
             return Err(SettingsError::NotAnObject);
--- a/crates/settings-schema/src/start_times.rs
+++ b/crates/settings-schema/src/start_times.rs
@@ -7,7 +7,7 @@
 
 use balancer::Micros;
 
-/// Longest time between a change and the endpoint list that contains it, as guaranteed by discovery's operators.
+/// Longest time between a change and the endpoint list that contains it, as stated by discovery's operators.
 const MAX_DISCOVERY_DELAY: Micros = 6_000_000;
 
 /// Largest measured difference from discovery's clock that still counts as none: discovery sends its time with a
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -27,7 +27,7 @@
     pub replica_set: usize,
     /// Endpoint state of the node: ready, draining or removed.
     pub state: EndpointState,
-    /// Capacity of the node relative to other nodes.
+    /// Size of the node relative to other nodes.
     pub scale: f64,
     /// Start time of the node's process; 0 for long ago.
     pub started_at: Micros,
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Calls the balancer, writes its actions to `output` and releases the ids that it no longer uses.
+    /// Runs `call` on the balancer, writes its actions to `output` and releases the ids that it no longer uses.
     fn with_actions(&mut self, output: &mut Vec<u8>, call: impl FnOnce(&mut Balancer, &mut dyn Actions)) {
         let mut reply = Reply::new(&self.name, &self.request_ids, &self.node_ids, output);
         call(&mut self.balancer, &mut reply);
@@ -157,12 +157,12 @@
         self.with_actions(output, |balancer, actions| balancer.endpoint_update_finished(now, actions));
     }
 
-    /// Runs the balancer's decisions and writes its actions to `output`.
+    /// Runs a decision of the balancer and writes its actions to `output`.
     pub fn decide(&mut self, now: Micros, output: &mut Vec<u8>) {
         self.with_actions(output, |balancer, actions| balancer.decide(now, actions));
     }
 
-    /// Reports an event to the balancer. Its actions follow with [`Instance::decide`].
+    /// Reports an event to the balancer. The balancer acts on it in [`Instance::decide`].
     pub fn handle_event(&mut self, now: Micros, event: Event, line: &Line) -> Result<(), AdapterError> {
         match event {
             Event::RequestArrived => self.request_arrived(now, line),
