--- a/crates/operator-config/src/section/tests.rs
+++ b/crates/operator-config/src/section/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn values_of_other_types_are_parsed() {
+fn numbers_and_flags_are_parsed() {
     let mut file = file();
     let mut control = file.section("control");
     assert_eq!(control.parsed("port", 0u16, "a port").expect("a port"), 8);
--- a/crates/settings-schema/src/settings/tests.rs
+++ b/crates/settings-schema/src/settings/tests.rs
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn unknown_idempotency_counts_as_non_idempotent() {
+fn each_kind_of_idempotency_is_known_and_others_count_as_non_idempotent() {
     for (stated, idempotency) in [
         ("read_like", Idempotency::Idempotent),
         ("idempotent", Idempotency::Idempotent),
