--- a/crates/control-plane/tests/loopback/main.rs
+++ b/crates/control-plane/tests/loopback/main.rs
@@ -1,4 +1,4 @@
-//! The control plane on sockets, between a discovery and proxies on loopback.
+//! Tests of the control plane on loopback sockets, with a test discovery server and test proxies.
 
 mod running_server;
 #[path = "../support/mod.rs"]
@@ -16,11 +16,11 @@
 use test_servers::{EndpointLoad, Proxy, ProxyTls, Script};
 use tokio::sync::oneshot;
 
-/// The time in which proxies have to react to a drain.
+/// Time within which proxies must stop sending new requests to a drained node.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_proxy_uses_a_drained_node_after_half_a_second() {
+async fn no_proxy_uses_a_drained_node_after_the_drain_grace() {
     let discovery = start_discovery(24, 4);
     let server = RunningServer::start(&discovery, 4, "").await;
     let script = |index: usize| {
@@ -32,14 +32,18 @@
     for proxy in &proxies {
         proxy.until("a complete view", |view| view.is_complete() && view.uses(address(5))).await;
     }
-    // A fifth of the nodes, one after the other.
+    // Drains a fifth of the nodes, one after the other.
     for node in 0..5 {
         let drained_at = Instant::now();
         drain(&discovery, node, 4);
         for proxy in &proxies {
             proxy.until("the drain", |view| !view.uses(address(node))).await;
         }
-        assert!(drained_at.elapsed() < DRAIN_GRACE, "{node}: {:?}", drained_at.elapsed());
+        assert!(
+            drained_at.elapsed() < DRAIN_GRACE,
+            "node {node}: in use until {:?} after its drain",
+            drained_at.elapsed()
+        );
     }
     assert!(proxies.iter().all(|proxy| proxy.view().gaps.is_empty()));
     let metrics = server.metrics().await;
@@ -52,19 +56,19 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn proxies_keep_their_views_while_the_control_plane_or_discovery_is_away() {
+async fn proxies_keep_their_views_while_the_control_plane_or_discovery_is_unavailable() {
     let discovery = start_discovery(12, 4);
     let server = RunningServer::start(&discovery, 4, "expected = 3").await;
     let script = |index: usize| Script::new(&format!("p{index}"), ZONES[index], true);
     let proxies: Vec<Arc<Proxy>> =
         (0..3).map(|index| Arc::new(Proxy::new(server.address, script(index)))).collect();
-    let running = proxies.iter().cloned().map(|proxy| tokio::spawn(async move { proxy.run(None).await }));
-    let running: Vec<_> = running.collect();
+    let tasks = proxies.iter().cloned().map(|proxy| tokio::spawn(async move { proxy.run(None).await }));
+    let tasks: Vec<_> = tasks.collect();
     wait_for_complete_views(&proxies).await;
-    // Discovery goes away and comes back; changes after that arrive.
+    // Discovery is unavailable for a while. Proxies receive the changes that it sends after that.
     discovery.set_down(true);
-    let calls = discovery.requests();
-    while discovery.requests() < calls + 1 {
+    let requests_before = discovery.requests();
+    while discovery.requests() < requests_before + 1 {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     assert!(proxies.iter().all(|proxy| proxy.view().is_complete()));
@@ -78,15 +82,16 @@
         let has_failed_updates = !metrics.contains("lists_failed_total 0\n");
         assert!(metrics.contains("departures_late 0\n") && has_failed_updates, "{metrics}");
     }
-    // The control plane ends: streams end, views stay. Its successor sends nothing that they have.
+    // The control plane stops. Its streams end, and the proxies keep their views. The next control plane sends them
+    // no resources that they already have.
     server.stop().await;
-    for task in running {
-        task.await.expect("a task");
+    for task in tasks {
+        task.await.expect("the task of a proxy");
     }
     let successor = RunningServer::start(&discovery, 4, "expected = 3").await;
     let reconnected: Vec<_> = proxies
         .iter()
-        .map(|before| successor.start_proxy_with(before.script.clone(), before.view()))
+        .map(|before| successor.start_proxy_with_view(before.script.clone(), before.view()))
         .collect();
     drain(&discovery, 4, 4);
     for (before, after) in proxies.iter().zip(&reconnected) {
@@ -94,16 +99,16 @@
         let messages = view.log[before.view().log.len()..].iter();
         let assignments = messages.filter(|(type_url, _)| type_url.ends_with("Assignment"));
         let endpoints = assignments.flat_map(|(_, names)| names);
-        // Nodes 3 and 4 hold the shards of replica sets 2, 3 and 0; the endpoints of set 1 did not change.
-        let unchanged: Vec<_> = endpoints.filter(|name| *name == "shards-1").collect();
-        assert!(unchanged.is_empty(), "{unchanged:?}");
+        // Nodes 3 and 4 hold the shards of replica sets 2, 3 and 0; the endpoints of replica set 1 did not change.
+        let resent: Vec<_> = endpoints.filter(|name| *name == "shards-1").collect();
+        assert!(resent.is_empty(), "unchanged endpoints were sent again: {resent:?}");
         assert!(view.is_complete());
     }
     successor.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn load_reports_of_most_proxies_eject_a_node() {
+async fn failures_reported_by_most_proxies_eject_a_node() {
     let discovery = start_discovery(8, 4);
     let server = RunningServer::start(&discovery, 4, "report_every = 100ms").await;
     let script = |index| Script::new(&format!("p{index}"), "east", true);
@@ -114,8 +119,8 @@
     let other = EndpointLoad { at: address(1), in_progress: 1, ..succeeded };
     let mut reporters = Vec::new();
     for (index, proxy) in proxies.iter().enumerate() {
-        let rows = vec![if index == 0 { succeeded } else { failed }, other];
-        reporters.push(proxy.report(1, rows).await.expect("it requests reports"));
+        let loads = vec![if index == 0 { succeeded } else { failed }, other];
+        reporters.push(proxy.report(1, loads).await.expect("the control plane requests load reports"));
     }
     for reporter in &reporters[1..] {
         reporter.send(1, vec![failed]).await;
@@ -130,7 +135,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_node_that_probes_cannot_reach_is_ejected() {
     let discovery = start_discovery(4, 4);
-    // One node accepts connections, at an address of its own; nothing listens at the others' addresses.
+    // Node 0 gets the address of a test server that accepts connections; nothing listens at the other addresses.
     let reachable = test_servers::data_node();
     let entry = test_servers::member("n0000", &reachable.to_string(), "east", 0, "ready", 0);
     discovery.publish(vec![entry]);
@@ -143,44 +148,45 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn invalid_bytes_and_silent_connections_harm_no_other_proxy() {
+async fn invalid_bytes_and_idle_connections_do_not_affect_other_proxies() {
     let discovery = start_discovery(8, 4);
     let server = RunningServer::start(&discovery, 4, "").await;
-    let steady = server.start_proxy(Script::new("steady", "east", true));
-    steady.until("a complete view", |view| view.is_complete()).await;
+    let proxy = server.start_proxy(Script::new("steady", "east", true));
+    proxy.until("a complete view", |view| view.is_complete()).await;
     let connect = || TcpStream::connect(server.address).expect("a connection");
     let mut random = fastrand::Rng::with_seed(5);
-    let silent: Vec<TcpStream> = (0..50).map(|_| connect()).collect();
+    let idle_connections: Vec<TcpStream> = (0..50).map(|_| connect()).collect();
     for index in 0..50 {
         let mut stream = connect();
         let mut bytes: Vec<u8> = (0..random.usize(1..5000)).map(|_| random.u8(..)).collect();
         if index % 2 == 0 {
             bytes.splice(0..0, *b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n");
         }
-        // The server may close the connection before all is written.
+        // The server may close the connection before all bytes are written.
         let _ = stream.write_all(&bytes);
     }
-    // A request with an invalid name, and one that is larger than the server accepts.
-    let channel = steady.channel().await.expect("a connection");
+    // Requests for an unknown resource type, the second of them larger than the server accepts.
+    let channel = proxy.channel().await.expect("a connection");
     for size in [100, 5 << 20] {
         let names = vec!["x".repeat(size)];
         let status = test_servers::request_unknown_type(channel.clone(), "odd", names).await;
         assert!(!matches!(status.code(), tonic::Code::Ok), "{status:?}");
     }
     drain(&discovery, 1, 4);
-    steady.until("the drain", |view| !view.uses(address(1))).await;
-    drop(silent);
+    proxy.until("the drain", |view| !view.uses(address(1))).await;
+    drop(idle_connections);
     server.stop().await;
 }
 
-/// A certificate and its key, as PEM.
+/// A certificate and its private key in PEM format.
 #[derive(Clone)]
 struct Certificate {
     certificate: String,
     key: String,
 }
 
-/// An authority's certificate, and those that it signed for the control plane and for proxy `p`, as PEM.
+/// The certificate of an authority in PEM format, and the certificates that it signed for the control plane and for
+/// proxy `p`.
 struct Certificates {
     authority: String,
     control_plane: Certificate,
@@ -189,33 +195,34 @@
 
 impl Certificates {
     fn generate() -> Certificates {
-        let mut params = rcgen::CertificateParams::new(Vec::new()).expect("parameters");
+        let mut params = rcgen::CertificateParams::new(Vec::new()).expect("certificate parameters");
         params.is_ca = rcgen::IsCa::Ca(rcgen::BasicConstraints::Unconstrained);
-        let key = rcgen::KeyPair::generate().expect("a key");
-        let authority = params.self_signed(&key).expect("a certificate");
+        let key = rcgen::KeyPair::generate().expect("a key pair");
+        let authority = params.self_signed(&key).expect("a signed certificate");
         let issuer = rcgen::Issuer::from_params(&params, &key);
         let sign = |name: &str| {
-            let params = rcgen::CertificateParams::new(vec![name.to_string()]).expect("parameters");
-            let key = rcgen::KeyPair::generate().expect("a key");
-            let certificate = params.signed_by(&key, &issuer).expect("a certificate").pem();
+            let params =
+                rcgen::CertificateParams::new(vec![name.to_string()]).expect("certificate parameters");
+            let key = rcgen::KeyPair::generate().expect("a key pair");
+            let certificate = params.signed_by(&key, &issuer).expect("a signed certificate").pem();
             Certificate { certificate, key: key.serialize_pem() }
         };
         Certificates { authority: authority.pem(), control_plane: sign("control"), proxy: sign("p") }
     }
 
-    /// Writes the files of the control plane.
-    fn write(&self, folder: &Path) {
+    /// Writes the files that the control plane's options name.
+    fn write(&self, directory: &Path) {
         let files = [
             ("authority.pem", &self.authority),
             ("key.pem", &self.control_plane.key),
             ("certificate.pem", &self.control_plane.certificate),
         ];
         for (name, content) in files {
-            std::fs::write(folder.join(name), content).expect("a file");
+            std::fs::write(directory.join(name), content).expect("the file is written");
         }
     }
 
-    /// A proxy with this id that uses the proxy's certificate.
+    /// Returns the script of a proxy with this ID that presents the certificate of proxy `p`.
     fn script(&self, id: &str) -> Script {
         let Certificate { certificate, key } = self.proxy.clone();
         let tls = Some(ProxyTls {
@@ -228,75 +235,75 @@
     }
 }
 
-/// A folder for the files of mutual TLS, and the options that name them.
-fn tls_folder() -> (PathBuf, String) {
-    let folder = std::env::temp_dir().join(format!("yewpier-control-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder");
-    let path = |name: &str| folder.join(name).to_str().expect("a path").to_string();
-    let text = format!(
+/// Creates a directory for the files of mutual TLS. Returns it and the options that name the files.
+fn create_tls_directory() -> (PathBuf, String) {
+    let directory = std::env::temp_dir().join(format!("yewpier-control-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("the directory is created");
+    let path = |name: &str| directory.join(name).to_str().expect("a UTF-8 path").to_string();
+    let option_lines = format!(
         "certificate = {}\nkey = {}\nauthority = {}",
         path("certificate.pem"),
         path("key.pem"),
         path("authority.pem")
     );
-    (folder, text)
+    (directory, option_lines)
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_proxy_may_only_use_ids_of_its_certificate_and_changed_files_take_effect() {
-    let (folder, text) = tls_folder();
-    let first = Certificates::generate();
-    first.write(&folder);
+async fn a_proxy_may_only_use_ids_in_its_certificate_and_changed_files_are_loaded() {
+    let (directory, option_lines) = create_tls_directory();
+    let original = Certificates::generate();
+    original.write(&directory);
     let discovery = start_discovery(8, 4);
-    let server = RunningServer::start(&discovery, 4, &text).await;
-    let proxy = server.start_proxy(first.script("p"));
+    let server = RunningServer::start(&discovery, 4, &option_lines).await;
+    let proxy = server.start_proxy(original.script("p"));
     proxy.until("a complete view", |view| view.is_complete()).await;
-    // The certificate does not contain another id.
-    let status = Proxy::new(server.address, first.script("q")).run(None).await;
+    // Proxy ID `q` is not in the certificate.
+    let status = Proxy::new(server.address, original.script("q")).run(None).await;
     assert_eq!(status.code(), tonic::Code::PermissionDenied);
-    // A certificate of another authority is not accepted, and neither is a connection without one.
-    let second = Certificates::generate();
-    let status = Proxy::new(server.address, second.script("p")).run(None).await;
+    // A certificate of another authority and a connection without TLS are rejected.
+    let untrusted = Certificates::generate();
+    let status = Proxy::new(server.address, untrusted.script("p")).run(None).await;
     assert_eq!(status.code(), tonic::Code::Unavailable);
     let status = Proxy::new(server.address, Script::new("p", "east", true)).run(None).await;
     assert_ne!(status.code(), tonic::Code::Ok);
-    // Changed files take effect without a restart; a file that cannot be read changes nothing.
-    std::fs::write(folder.join("key.pem"), "no key").expect("a file");
-    let third = Certificates::generate();
-    third.write(&folder);
-    let later = Proxy::new(server.address, third.script("p"));
+    // Changed files are loaded without a restart; a file that is not valid PEM changes nothing.
+    std::fs::write(directory.join("key.pem"), "no key").expect("the file is written");
+    let replacement = Certificates::generate();
+    replacement.write(&directory);
+    let new_proxy = Proxy::new(server.address, replacement.script("p"));
     let written_at = Instant::now();
-    while later.channel().await.is_err() {
-        assert!(written_at.elapsed() < Duration::from_secs(20), "the files were not read again");
+    while new_proxy.channel().await.is_err() {
+        assert!(written_at.elapsed() < Duration::from_secs(20), "the changed files were not loaded");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     drain(&discovery, 1, 4);
-    proxy.until("the drain, on the earlier connection", |view| !view.uses(address(1))).await;
+    proxy.until("the drain, on the connection from before the change", |view| !view.uses(address(1))).await;
     server.stop().await;
-    std::fs::remove_dir_all(&folder).expect("the folder");
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_error_says_why_the_control_plane_does_not_start() {
+async fn the_error_states_why_the_control_plane_does_not_start() {
     let discovery = start_discovery(1, 1);
-    let run = |text: &str| {
+    let run = |option_lines: &str| {
         let config = Config { discovery: discovery.at, ..config(1, 1, Vec::new()) };
         let (ready, _address) = oneshot::channel();
         let (stop, stop_requested) = oneshot::channel();
-        let options = options(text);
+        let options = options(option_lines);
         async move {
             let _stop = stop;
             let result: Result<(), ServeError> =
                 control_plane::run(config, None, options, ready, stop_requested).await;
-            result.expect_err("it does not start").to_string()
+            result.expect_err("the control plane does not start").to_string()
         }
     };
     assert_eq!(run("").await, "[control] listen: it is not set, so the control service is off");
     let files = "certificate = /nowhere/c\nkey = /nowhere/k\nauthority = /nowhere/a";
     let error = run(&format!("listen = 127.0.0.1:0\n{files}")).await;
     assert!(error.starts_with("/nowhere/"), "{error}");
-    let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let taken_address = taken.local_addr().expect("an address");
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let taken_address = listener.local_addr().expect("a bound address");
     let error = run(&format!("listen = {taken_address}")).await;
     assert!(error.starts_with(&format!("listen on {taken_address}")), "{error}");
 }
--- a/crates/control-plane/tests/loopback/running_server.rs
+++ b/crates/control-plane/tests/loopback/running_server.rs
@@ -1,6 +1,6 @@
-//! The control plane on sockets, between a discovery and proxies on loopback.
+//! A control plane that runs for a test, and its test discovery server and test proxies.
 
-use crate::support::{config, entry, options};
+use crate::support::{config, endpoint_entry, options};
 use control_plane::{Options, ServeError};
 use query_router::config::Config;
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 use tokio::task::JoinHandle;
 
-/// How long the metrics may take to be read.
+/// Timeout of a request for the metrics.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A control plane that runs until it is dropped or stopped.
@@ -22,27 +22,29 @@
 }
 
 impl RunningServer {
-    /// Starts a control plane with these options on a free port.
-    pub async fn start(discovery: &Discovery, replica_sets: usize, text: &str) -> RunningServer {
-        let options = options(&format!("listen = 127.0.0.1:0\n{text}"));
-        RunningServer::start_with(discovery.at, replica_sets, options).await
+    /// Starts a control plane on a free port. `option_lines` are further lines of section `[control]`.
+    pub async fn start(discovery: &Discovery, replica_sets: usize, option_lines: &str) -> RunningServer {
+        let options = options(&format!("listen = 127.0.0.1:0\n{option_lines}"));
+        RunningServer::start_with_options(discovery.at, replica_sets, options).await
     }
 
-    async fn start_with(discovery: SocketAddr, replica_sets: usize, options: Options) -> RunningServer {
+    async fn start_with_options(
+        discovery: SocketAddr, replica_sets: usize, options: Options,
+    ) -> RunningServer {
         let config = Config { discovery, ..config(replica_sets, replica_sets.min(2), Vec::new()) };
         let (ready, address) = oneshot::channel();
         let (stop, stop_requested) = oneshot::channel();
         let task = tokio::spawn(control_plane::run(config, None, options, ready, stop_requested));
-        RunningServer { address: address.await.expect("it listens"), stop, task }
+        RunningServer { address: address.await.expect("the control plane listens"), stop, task }
     }
 
-    /// Stops the control plane in order.
+    /// Stops the control plane gracefully and waits until it has stopped.
     pub async fn stop(self) {
-        self.stop.send(()).expect("it runs");
-        self.task.await.expect("a task").expect("an orderly end");
+        self.stop.send(()).expect("the control plane is running");
+        self.task.await.expect("the task of the control plane").expect("a graceful shutdown");
     }
 
-    /// The metrics, requested as an operator would.
+    /// Requests the metrics over HTTP. Returns the whole response, headers included.
     pub async fn metrics(&self) -> String {
         let request = async {
             let mut stream = tokio::net::TcpStream::connect(self.address).await?;
@@ -51,17 +53,17 @@
             stream.read_to_string(&mut text).await.map(|_| text)
         };
         let text: std::io::Result<String> =
-            tokio::time::timeout(METRICS_TIMEOUT, request).await.expect("an answer in time");
-        text.expect("an answer")
+            tokio::time::timeout(METRICS_TIMEOUT, request).await.expect("a response within the timeout");
+        text.expect("a response")
     }
 
-    /// Starts a proxy that behaves as a script says.
+    /// Starts a proxy that behaves as the script specifies.
     pub fn start_proxy(&self, script: Script) -> Arc<Proxy> {
         run_proxy(Proxy::new(self.address, script))
     }
 
-    /// Starts a proxy that has a view already.
-    pub fn start_proxy_with(&self, script: Script, view: View) -> Arc<Proxy> {
+    /// Starts a proxy with the view that another proxy has received.
+    pub fn start_proxy_with_view(&self, script: Script, view: View) -> Arc<Proxy> {
         let proxy = Proxy::new(self.address, script);
         proxy.set_view(view);
         run_proxy(proxy)
@@ -75,9 +77,9 @@
     proxy
 }
 
-/// A discovery whose list has `nodes` ready nodes.
+/// Starts a discovery server whose endpoint list contains `nodes` ready nodes.
 pub fn start_discovery(nodes: usize, replica_sets: usize) -> Discovery {
-    Discovery::start(7, (0..nodes).map(|node| entry(node, replica_sets, "ready", 0)).collect())
+    Discovery::start(7, (0..nodes).map(|node| endpoint_entry(node, replica_sets, "ready", 0)).collect())
 }
 
 /// Waits until each proxy has a complete view.
@@ -87,7 +89,7 @@
     }
 }
 
-/// A discovery sends a node's drain.
+/// Publishes an endpoint update that drains a node.
 pub fn drain(discovery: &Discovery, node: usize, replica_sets: usize) {
-    discovery.publish(vec![entry(node, replica_sets, "draining", 0)]);
+    discovery.publish(vec![endpoint_entry(node, replica_sets, "draining", 0)]);
 }
--- a/crates/control-plane/tests/machine/load_reports.rs
+++ b/crates/control-plane/tests/machine/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of proxies.
+//! Load reports of proxies, and the ejection of nodes by them.
 
 use crate::simulation::{SECOND, Simulation};
 use crate::support::address;
@@ -6,8 +6,8 @@
 use control_plane::{AuthorizedNames, EndpointLoad, LoadReportRequest, ProxyNode, Service, StreamId};
 use std::net::SocketAddr;
 
-/// An entry of a load report.
-fn load(address: SocketAddr, [succeeded, failed, in_progress, issued]: [u64; 4]) -> EndpointLoad {
+/// Creates an entry of a load report.
+fn endpoint_load(address: SocketAddr, [succeeded, failed, in_progress, issued]: [u64; 4]) -> EndpointLoad {
     EndpointLoad { address, succeeded, failed, in_progress, issued }
 }
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn load_reports_of_most_proxies_eject_a_node_and_invalid_ones_are_rejected() {
+fn failures_reported_by_most_proxies_eject_a_node_and_invalid_reports_are_rejected() {
     let mut simulation = Simulation::new(8, 4, 1, "");
     let reporters: Vec<StreamId> = (500..503).map(StreamId).collect();
     for _ in 0..3 {
@@ -30,14 +30,14 @@
         control_plane.load_report(now, stream, Some(node), load_report(SECOND, vec![]));
     }
     simulation.advance(SECOND);
-    // One proxy reports wrong counts of node 3; node 5 fails for all.
+    // A single proxy reports failures of node 3; all proxies report failures of node 5.
     for _ in 0..5 {
         for (index, &stream) in reporters.iter().enumerate() {
-            let third = if index == 0 { [0, 900_000_000, 0, 0] } else { [20, 0, 1, 20] };
+            let counts_of_node_3 = if index == 0 { [0, 900_000_000, 0, 0] } else { [20, 0, 1, 20] };
             let endpoints = vec![
-                load(address(3), third),
-                load(address(5), [1, 20, 0, 0]),
-                load(address(6), [9, 0, 0, 9]),
+                endpoint_load(address(3), counts_of_node_3),
+                endpoint_load(address(5), [1, 20, 0, 0]),
+                endpoint_load(address(6), [9, 0, 0, 9]),
             ];
             let report = load_report(SECOND, endpoints);
             simulation.control_plane.load_report(simulation.now, stream, None, report);
@@ -45,15 +45,16 @@
         simulation.advance(SECOND);
     }
     assert_eq!([3, 5, 6].map(|node| simulation.proxies_using(node)), [3, 0, 3]);
-    // Impossible counts, an address that is no node's, and an impossible interval.
+    // A count out of range, more issued requests than the other counts allow, an unknown address and a negative
+    // interval.
     let before = simulation.metric("reports_refused_total");
-    let invalid = [
-        load_report(SECOND, vec![load(address(6), [u64::MAX, 0, 0, 0])]),
-        load_report(SECOND, vec![load(address(6), [1, 0, 0, 50])]),
-        load_report(SECOND, vec![load(address(99), [0, 9, 0, 0])]),
-        load_report(-SECOND, vec![load(address(6), [0, 9, 0, 0])]),
+    let invalid_reports = [
+        load_report(SECOND, vec![endpoint_load(address(6), [u64::MAX, 0, 0, 0])]),
+        load_report(SECOND, vec![endpoint_load(address(6), [1, 0, 0, 50])]),
+        load_report(SECOND, vec![endpoint_load(address(99), [0, 9, 0, 0])]),
+        load_report(-SECOND, vec![endpoint_load(address(6), [0, 9, 0, 0])]),
     ];
-    for report in invalid {
+    for report in invalid_reports {
         simulation.control_plane.load_report(simulation.now, reporters[1], None, report);
     }
     assert_eq!(simulation.metric("reports_refused_total"), before + 4.0);
--- a/crates/control-plane/tests/machine/main.rs
+++ b/crates/control-plane/tests/machine/main.rs
@@ -1,4 +1,4 @@
-//! The state machine of the control plane with simulated proxies, under faults of all kinds.
+//! Tests of the control plane's state machine with simulated proxies, a simulated clock and injected faults.
 
 mod capacity;
 mod drains;
@@ -14,5 +14,5 @@
 use balancer::Micros;
 
 const MILLISECOND: Micros = 1000;
-/// The time in which proxies have to react to a drain.
+/// Time within which proxies must stop sending new requests to a drained node.
 const DRAIN_GRACE: Micros = 500 * MILLISECOND;
--- a/crates/control-plane/tests/machine/random_faults.rs
+++ b/crates/control-plane/tests/machine/random_faults.rs
@@ -1,10 +1,10 @@
-//! Faults drawn from a seed.
+//! Random sequences of faults, each determined by a seed.
 
 use crate::MILLISECOND;
 use crate::simulation::{SECOND, Simulation};
 
-/// Simulates faults drawn from a seed. Invariants are checked after each step, and at the end all proxies
-/// agree.
+/// Simulates a random sequence of faults. Invariants are checked after each step. At the end all proxies must be
+/// connected, have complete views and use the same nodes.
 fn simulate_random_faults(seed: u64) {
     let mut random = fastrand::Rng::with_seed(seed);
     let nodes = random.usize(8..30);
@@ -13,21 +13,21 @@
         let latency = random.i64(0..800 * MILLISECOND);
         simulation.add_proxy(random.bool(), latency);
     }
-    let mut unused: Vec<usize> = Vec::new();
+    let mut drained_or_removed: Vec<usize> = Vec::new();
     for _ in 0..40 {
         let (node, proxy) = (random.usize(0..nodes), random.usize(0..simulation.proxies.len()));
         match random.u8(0..8) {
             0 | 1 => {
                 simulation.update_endpoints(&[(node, "draining", 0)]);
-                unused.push(node);
+                drained_or_removed.push(node);
             }
             2 => {
                 simulation.update_endpoints(&[(node, "ready", simulation.now)]);
-                unused.retain(|&other| other != node);
+                drained_or_removed.retain(|&other| other != node);
             }
             3 => {
                 simulation.update_endpoints(&[(node, "gone", 0)]);
-                unused.push(node);
+                drained_or_removed.push(node);
             }
             4 => simulation.disconnect(proxy),
             5 => simulation.proxies[proxy].disconnect_after = Some(random.usize(1..4)),
@@ -47,11 +47,18 @@
     }
     simulation.advance(40 * SECOND);
     for node in 0..nodes {
-        let expected = if unused.contains(&node) { 0 } else { simulation.proxies.len() };
-        assert_eq!(simulation.proxies_using(node), expected, "seed {seed}: node {node}");
+        let expected = if drained_or_removed.contains(&node) { 0 } else { simulation.proxies.len() };
+        assert_eq!(simulation.proxies_using(node), expected, "seed {seed}: proxies that use node {node}");
     }
-    assert!(simulation.proxies.iter().all(|proxy| proxy.subscriber.view.is_complete()), "seed {seed}");
-    assert_eq!(simulation.metric("departures_late"), 0.0, "seed {seed}");
+    assert!(
+        simulation.proxies.iter().all(|proxy| proxy.xds_client.view.is_complete()),
+        "seed {seed}: incomplete view"
+    );
+    assert_eq!(
+        simulation.metric("departures_late"),
+        0.0,
+        "seed {seed}: unacknowledged drains past the drain grace"
+    );
 }
 
 #[test]
@@ -59,15 +66,16 @@
     (0..60).for_each(simulate_random_faults);
 }
 
-/// What happens: a constrained node was granted 13 requests while its capacity was 12, and no proxy was to give one back.
-/// Why: with less than one request for each proxy, shares are drawn by hash, and only on average add up to the capacity.
-/// At this seed all 13 proxies have a share: `capacity 12 total 13 proxies 13`, each `granted 1 target 1`.
+/// Guards against grants above the capacity of a constrained node: 13 requests were granted of a capacity of 12, and no
+/// proxy had a lower grant to acknowledge. If the capacity is less than one request per proxy, the proxies that get one
+/// are chosen by hash, and their shares add up to the capacity only on average. At this seed each of the 13 proxies has
+/// a share of one request.
 #[test]
 fn at_seed_1687_a_constrained_node_is_granted_no_more_than_its_capacity() {
     simulate_random_faults(1687);
 }
 
-/// `cargo test --release -p control-plane --test machine -- --ignored`
+/// Takes some minutes: `cargo test --release -p control-plane --test machine -- --ignored`
 #[test]
 #[ignore = "a long run of the same, some minutes"]
 fn random_faults_for_two_thousand_seeds() {
--- a/crates/control-plane/tests/machine/simulation.rs
+++ b/crates/control-plane/tests/machine/simulation.rs
@@ -1,7 +1,7 @@
-//! Proxies and the state machine of the control plane with a simulated clock. Each response reaches its proxy
-//! after that proxy's latency, and invariants are checked after each step.
+//! A simulation of the control plane's state machine and its proxies on a simulated clock. Each response reaches its
+//! proxy after the latency of that proxy. Invariants are checked after each step.
 
-use crate::support::{ZONES, address, config, entry, node_id, options};
+use crate::support::{ZONES, address, config, endpoint_entry, node_id, options};
 use balancer::{EndpointUpdate, Micros};
 use control_plane::{
     AuthorizedNames, ControlPlane, DeltaRequest, Effect, ProtocolVariant, ProxyNode, Resource, Response,
@@ -12,15 +12,15 @@
 use test_servers::{DiscoveryRequest, DiscoveryResponse, ReceivedResource, Script, XdsClient};
 use xds_api::pb::google::protobuf::Any;
 
-/// When simulations begin.
+/// Time at which simulations start.
 pub const START: Micros = 1_000_000_000_000;
 pub const SECOND: Micros = 1_000_000;
-/// The longest latency of a proxy, plus a tick.
+/// Upper bound of the latency of a proxy plus a tick interval.
 const MAX_LATENCY: Micros = 2_100_000;
-/// How much of a proxy's log is shown when a check fails.
-const SHOWN_LOG_ENTRIES: usize = 12;
+/// Maximum number of received responses that the message of a failed check lists.
+const MAX_SHOWN_RESPONSES: usize = 12;
 
-/// A response on its way to a proxy.
+/// A response in transit to a proxy.
 struct Delivery {
     arrives_at: Micros,
     response: Response,
@@ -28,75 +28,86 @@
 
 /// A simulated proxy.
 pub struct SimulatedProxy {
-    pub subscriber: XdsClient,
+    pub xds_client: XdsClient,
+    /// Time that a response takes to reach the proxy.
     pub latency: Micros,
+    /// The discovery stream; `None` while the proxy is disconnected.
     pub stream: Option<StreamId>,
-    inbox: VecDeque<Delivery>,
+    /// Responses in transit, in order of arrival.
+    in_transit: VecDeque<Delivery>,
+    /// Time at which the last stream was opened.
     connected_at: Micros,
-    /// After how many more responses the stream breaks.
+    /// Number of responses still to be received before the stream breaks; 0 once it has broken, `None` if it does
+    /// not break.
     pub disconnect_after: Option<usize>,
-    /// The status of each stream that the control plane ended.
+    /// Status code and message of each stream that the control plane closed.
     pub statuses: Vec<String>,
 }
 
-/// What proxies were granted of a constrained node.
+/// The highest total of the grants of a constrained node.
 #[derive(Clone, Copy, Default)]
 pub struct PeakGrant {
-    /// The most requests that all proxies together were granted.
+    /// Number of concurrent requests granted to all proxies together.
     pub granted: u64,
-    /// The capacity at that time.
+    /// Capacity of the node at that time, in concurrent requests.
     pub capacity: u32,
 }
 
-/// The capacity of a constrained node since a time.
+/// A change of the capacity of a constrained node.
 struct CapacityChange {
     at: Micros,
     capacity: u32,
 }
 
+/// A control plane, its discovery and its proxies on a simulated clock.
 pub struct Simulation {
     pub now: Micros,
     pub control_plane: ControlPlane,
     pub proxies: Vec<SimulatedProxy>,
     replica_sets: usize,
-    /// The entries of the endpoint list, by node id.
+    /// Entries of the endpoint list by node ID.
     pub entries: BTreeMap<String, Json>,
-    /// How often the control plane requested a watch of discovery.
+    /// Number of watches of discovery that the control plane requested.
     pub watches: usize,
-    last_stream: u64,
+    last_stream_id: u64,
+    /// Time of the last tick of the control plane.
     ticked_at: Micros,
-    /// By cluster of a constrained node.
+    /// Peak grants by name of the constrained node's cluster.
     pub peak_grants: BTreeMap<String, PeakGrant>,
-    /// Nodes that are to get no new work, and since when the control plane knows that.
+    /// Time at which the control plane received the drain or removal of each node that must get no new requests.
     drained_since: BTreeMap<usize, Micros>,
-    /// By cluster of a constrained node. Grants may exceed a lowered capacity until the slowest proxy has
-    /// heard of it.
-    capacities: BTreeMap<String, VecDeque<CapacityChange>>,
+    /// Latest capacities by name of the constrained node's cluster, oldest first. Grants may exceed a lowered capacity
+    /// until the slowest proxy has received its lower grant.
+    recent_capacities: BTreeMap<String, VecDeque<CapacityChange>>,
 }
 
 impl Simulation {
-    /// A control plane with `nodes` nodes and no proxies. `text` sets its options.
-    pub fn new(nodes: usize, replica_sets: usize, replica_sets_per_shard: usize, text: &str) -> Simulation {
+    /// Creates a control plane with `nodes` ready nodes and no proxies. `option_lines` are lines of section
+    /// `[control]`.
+    pub fn new(
+        nodes: usize, replica_sets: usize, replica_sets_per_shard: usize, option_lines: &str,
+    ) -> Simulation {
         let config = config(replica_sets, replica_sets_per_shard, Vec::new());
-        let entries = (0..nodes).map(|node| (node_id(node), entry(node, replica_sets, "ready", 0))).collect();
+        let entries =
+            (0..nodes).map(|node| (node_id(node), endpoint_entry(node, replica_sets, "ready", 0))).collect();
         let mut simulation = Simulation {
             now: START,
-            control_plane: ControlPlane::new(START, &config, options(text)),
+            control_plane: ControlPlane::new(START, &config, options(option_lines)),
             proxies: Vec::new(),
             replica_sets,
             entries,
             watches: 0,
-            last_stream: 0,
+            last_stream_id: 0,
             ticked_at: START,
             peak_grants: BTreeMap::new(),
             drained_since: BTreeMap::new(),
-            capacities: BTreeMap::new(),
+            recent_capacities: BTreeMap::new(),
         };
         simulation.send_full_list();
         simulation
     }
 
-    /// Discovery sends its full list.
+    /// Passes the full endpoint list to the control plane.
     pub fn send_full_list(&mut self) {
         let members: Vec<&Json> = self.entries.values().collect();
         let list = json!({"revision": 1, "complete": true, "members": members});
@@ -104,16 +115,16 @@
         self.carry_out_effects();
     }
 
-    /// Discovery cannot be reached.
+    /// Reports to the control plane that discovery cannot be reached.
     pub fn fail_endpoint_update(&mut self) {
         self.control_plane.endpoint_update(self.now, &Json::Null, EndpointUpdate::Failed);
     }
 
-    /// Discovery sends changes: nodes, their states and when they started. A node that is gone leaves the
-    /// list.
+    /// Passes an incremental endpoint update to the control plane. Each change consists of the node, its state and its
+    /// start time; state `gone` removes the node from the list.
     pub fn update_endpoints(&mut self, changes: &[(usize, &str, Micros)]) {
         let changed = |&(node, state, started_at): &(usize, &str, Micros)| {
-            entry(node, self.replica_sets, state, started_at)
+            endpoint_entry(node, self.replica_sets, state, started_at)
         };
         let entries: Vec<Json> = changes.iter().map(changed).collect();
         for (&(node, state, _), entry) in changes.iter().zip(&entries) {
@@ -131,21 +142,21 @@
         self.carry_out_effects();
     }
 
-    /// Adds a proxy, which connects at once. Returns its index.
+    /// Adds a proxy that accepts all responses, and connects it. Returns its index.
     pub fn add_proxy(&mut self, delta: bool, latency: Micros) -> usize {
         let index = self.proxies.len();
         let script = Script::new(&format!("p{index:04}"), ZONES[index % ZONES.len()], delta);
         self.add_scripted_proxy(script, latency)
     }
 
-    /// Adds a proxy that behaves as a script says, which connects at once. Returns its index.
+    /// Adds a proxy that behaves as the script specifies, and connects it. Returns its index.
     pub fn add_scripted_proxy(&mut self, script: Script, latency: Micros) -> usize {
         let index = self.proxies.len();
         self.proxies.push(SimulatedProxy {
-            subscriber: XdsClient::new(script),
+            xds_client: XdsClient::new(script),
             latency,
             stream: None,
-            inbox: VecDeque::new(),
+            in_transit: VecDeque::new(),
             connected_at: self.now,
             disconnect_after: None,
             statuses: Vec::new(),
@@ -154,43 +165,43 @@
         index
     }
 
-    /// A proxy opens a stream, with what it has.
+    /// Opens a stream of a proxy, on which the proxy names the resource versions that it has.
     pub fn connect(&mut self, index: usize) {
-        self.last_stream += 1;
-        let stream = StreamId(self.last_stream);
+        self.last_stream_id += 1;
+        let stream = StreamId(self.last_stream_id);
         let proxy = &mut self.proxies[index];
         (proxy.stream, proxy.disconnect_after, proxy.connected_at) = (Some(stream), None, self.now);
-        proxy.inbox.clear();
-        let delta = proxy.subscriber.script.delta;
+        proxy.in_transit.clear();
+        let delta = proxy.xds_client.script.delta;
         let variant = if delta { ProtocolVariant::Delta } else { ProtocolVariant::StateOfTheWorld };
         let service = Service::Discovery(variant);
         self.control_plane.stream_opened(self.now, stream, service, AuthorizedNames::Any);
-        let requests = proxy.subscriber.open();
+        let requests = proxy.xds_client.open();
         self.send_requests(index, requests);
     }
 
-    /// Connects all proxies that have no stream.
+    /// Connects all disconnected proxies.
     pub fn connect_all(&mut self) {
         for index in self.disconnected() {
             self.connect(index);
         }
     }
 
-    /// The proxies that have no stream.
+    /// Returns the indexes of the proxies without a stream.
     pub fn disconnected(&self) -> Vec<usize> {
         (0..self.proxies.len()).filter(|&index| self.proxies[index].stream.is_none()).collect()
     }
 
-    /// A proxy's stream breaks.
+    /// Breaks the stream of a proxy. Responses in transit are lost.
     pub fn disconnect(&mut self, index: usize) {
         if let Some(stream) = self.proxies[index].stream.take() {
-            self.proxies[index].inbox.clear();
+            self.proxies[index].in_transit.clear();
             self.control_plane.stream_closed(self.now, stream);
         }
         self.carry_out_effects();
     }
 
-    /// Another control plane takes over without notice to the old one; all proxies connect to it.
+    /// Replaces the control plane without closing its streams first, and connects all proxies to the new one.
     pub fn replace_control_plane(&mut self, control_plane: ControlPlane) {
         self.control_plane = control_plane;
         for index in 0..self.proxies.len() {
@@ -200,14 +211,14 @@
     }
 
     fn send_requests(&mut self, index: usize, requests: Vec<DiscoveryRequest>) {
-        let script = self.proxies[index].subscriber.script.clone();
+        let script = self.proxies[index].xds_client.script.clone();
         let node = Some(ProxyNode { id: &script.id, zone: &script.zone });
-        for ask in requests {
+        for discovery_request in requests {
             let Some(stream) = self.proxies[index].stream else { return };
             if script.delta {
-                self.control_plane.delta_request(self.now, stream, node, delta_request(ask));
+                self.control_plane.delta_request(self.now, stream, node, delta_request(discovery_request));
             } else {
-                let request = state_of_the_world_request(ask);
+                let request = state_of_the_world_request(discovery_request);
                 self.control_plane.state_of_the_world_request(self.now, stream, node, request);
             }
             self.carry_out_effects();
@@ -219,15 +230,15 @@
             match effect {
                 Effect::Respond { stream, response } => {
                     let now = self.now;
-                    if let Some(proxy) = self.proxy_of(stream) {
+                    if let Some(proxy) = self.proxy_with_stream(stream) {
                         let arrives_at = now + proxy.latency;
-                        proxy.inbox.push_back(Delivery { arrives_at, response });
+                        proxy.in_transit.push_back(Delivery { arrives_at, response });
                     }
                 }
                 Effect::CloseStream { stream, error } => {
-                    if let Some(proxy) = self.proxy_of(stream) {
+                    if let Some(proxy) = self.proxy_with_stream(stream) {
                         proxy.stream = None;
-                        proxy.inbox.clear();
+                        proxy.in_transit.clear();
                         proxy.statuses.push(format!("{:?}: {error}", error.code()));
                     }
                 }
@@ -237,24 +248,24 @@
         }
     }
 
-    fn proxy_of(&mut self, stream: StreamId) -> Option<&mut SimulatedProxy> {
+    fn proxy_with_stream(&mut self, stream: StreamId) -> Option<&mut SimulatedProxy> {
         self.proxies.iter_mut().find(|proxy| proxy.stream == Some(stream))
     }
 
-    /// Lets time pass. Responses arrive in order, and the control plane ticks at its interval.
-    pub fn advance(&mut self, time: Micros) {
-        let until = self.now + time;
+    /// Advances the clock. Responses are delivered in order of arrival, and the control plane ticks at its interval.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         loop {
-            let deliveries = self.proxies.iter().filter_map(|proxy| proxy.inbox.front());
-            let arrival = deliveries.map(|delivery| delivery.arrives_at).min();
-            let tick = self.ticked_at + TICK_INTERVAL;
-            let next = arrival.unwrap_or(Micros::MAX).min(tick);
-            if next > until {
+            let deliveries = self.proxies.iter().filter_map(|proxy| proxy.in_transit.front());
+            let next_arrival = deliveries.map(|delivery| delivery.arrives_at).min();
+            let next_tick = self.ticked_at + TICK_INTERVAL;
+            let next = next_arrival.unwrap_or(Micros::MAX).min(next_tick);
+            if next > end {
                 break;
             }
             self.now = self.now.max(next);
-            if arrival.is_none_or(|arrival| arrival > tick) {
-                self.ticked_at = tick;
+            if next_arrival.is_none_or(|arrival| arrival > next_tick) {
+                self.ticked_at = next_tick;
                 self.control_plane.tick(self.now);
                 self.carry_out_effects();
             } else {
@@ -262,16 +273,17 @@
             }
             self.check_invariants();
         }
-        self.now = until;
+        self.now = end;
     }
 
-    /// Delivers the first response that arrives at a time.
+    /// Delivers the first response that arrives at `time`.
     fn deliver_at(&mut self, time: Micros) {
-        let is_due = |proxy: &SimulatedProxy| proxy.inbox.front().is_some_and(|next| next.arrives_at == time);
-        let index = self.proxies.iter().position(is_due).expect("a response that is due");
+        let is_due =
+            |proxy: &SimulatedProxy| proxy.in_transit.front().is_some_and(|next| next.arrives_at == time);
+        let index = self.proxies.iter().position(is_due).expect("a response that arrives at this time");
         let proxy = &mut self.proxies[index];
-        let Some(Delivery { response, .. }) = proxy.inbox.pop_front() else { return };
-        let requests = proxy.subscriber.handle_response(&answer(&response));
+        let Some(Delivery { response, .. }) = proxy.in_transit.pop_front() else { return };
+        let requests = proxy.xds_client.handle_response(&to_discovery_response(&response));
         if let Some(remaining) = &mut proxy.disconnect_after {
             *remaining -= 1;
             if *remaining == 0 {
@@ -281,37 +293,40 @@
         self.send_requests(index, requests);
     }
 
-    /// Checks what must hold at every time.
+    /// Checks the invariants of all proxies, drains and grants.
     fn check_invariants(&mut self) {
         for proxy in &self.proxies {
-            check_no_gaps(&proxy.subscriber);
+            check_routed_clusters(&proxy.xds_client);
         }
         self.check_drains();
         self.check_grants();
     }
 
-    /// A proxy that was connected when a drain became known uses the node only until it has heard of the
-    /// drain.
+    /// Checks that a proxy that was connected when a drain started uses the node for no longer than the proxy's
+    /// latency after that.
     fn check_drains(&self) {
         for (&node, &since) in &self.drained_since {
             let connected = self.proxies.iter().filter(|proxy| proxy.stream.is_some());
             for proxy in connected.filter(|proxy| proxy.connected_at < since) {
-                let view = &proxy.subscriber.view;
+                let view = &proxy.xds_client.view;
                 let is_late = self.now > since + proxy.latency && view.uses(address(node));
-                let (id, elapsed) = (&proxy.subscriber.script.id, self.now - since);
-                assert!(!is_late, "{id} still uses {node}, {elapsed} us after its drain");
+                let (id, elapsed) = (&proxy.xds_client.script.id, self.now - since);
+                assert!(
+                    !is_late,
+                    "proxy {id} still uses node {node} {elapsed} us after the start of its drain"
+                );
             }
         }
     }
 
-    /// Proxies together are granted no more of a constrained node than its capacity, or than one that was in
-    /// force until recently.
+    /// Checks that the grants of a constrained node add up to no more than the highest capacity that it has had within
+    /// the last `MAX_LATENCY`.
     fn check_grants(&mut self) {
         for usage in self.control_plane.constrained_usage() {
             let (cluster, capacity) = (usage.cluster, usage.capacity);
-            let granted_to = |proxy: &SimulatedProxy| proxy.subscriber.view.clusters.get(&cluster).copied();
+            let granted_to = |proxy: &SimulatedProxy| proxy.xds_client.view.clusters.get(&cluster).copied();
             let granted: u64 = self.proxies.iter().map(|proxy| granted_to(proxy).unwrap_or(0) as u64).sum();
-            let recent = self.capacities.entry(cluster.clone()).or_default();
+            let recent = self.recent_capacities.entry(cluster.clone()).or_default();
             if recent.back().is_none_or(|last| last.capacity != capacity) {
                 recent.push_back(CapacityChange { at: self.now, capacity });
             }
@@ -319,7 +334,10 @@
                 recent.pop_front();
             }
             let max = recent.iter().map(|change| change.capacity).max().unwrap_or(0) as u64;
-            assert!(granted <= max, "{cluster}: granted {granted}, capacity {capacity}, recently {max}");
+            assert!(
+                granted <= max,
+                "{cluster}: granted {granted}, capacity {capacity}, highest recent capacity {max}"
+            );
             let peak = self.peak_grants.entry(cluster).or_default();
             if (granted, capacity) > (peak.granted, peak.capacity) {
                 *peak = PeakGrant { granted, capacity };
@@ -327,18 +345,18 @@
         }
     }
 
-    /// How many proxies would give a node new work.
+    /// Returns the number of proxies that would send new requests to a node.
     pub fn proxies_using(&self, node: usize) -> usize {
-        let uses = |proxy: &&SimulatedProxy| proxy.subscriber.view.uses(address(node));
+        let uses = |proxy: &&SimulatedProxy| proxy.xds_client.view.uses(address(node));
         self.proxies.iter().filter(uses).count()
     }
 
-    /// How many responses all proxies have received.
-    pub fn responses(&self) -> usize {
-        self.proxies.iter().map(|proxy| proxy.subscriber.view.log.len()).sum()
+    /// Returns the number of responses that all proxies together have received.
+    pub fn response_count(&self) -> usize {
+        self.proxies.iter().map(|proxy| proxy.xds_client.view.log.len()).sum()
     }
 
-    /// The value of a metric.
+    /// Returns the value of a metric; `name` lacks the prefix `yewpier_control_`.
     pub fn metric(&self, name: &str) -> f64 {
         let text = self.control_plane.metrics_text();
         let line = text.lines().find(|line| line.starts_with(&format!("yewpier_control_{name} ")));
@@ -347,36 +365,42 @@
     }
 }
 
-/// A proxy's view was never without something that it refers to.
-fn check_no_gaps(subscriber: &XdsClient) {
-    let (script, view) = (&subscriber.script, &subscriber.view);
-    let log = &view.log[view.log.len().saturating_sub(SHOWN_LOG_ENTRIES)..];
-    assert!(view.gaps.is_empty(), "{}, delta {}: {:?} {log:?}", script.id, script.delta, view.gaps);
+/// Checks that no response has left a proxy with a route to a cluster without endpoints.
+fn check_routed_clusters(xds_client: &XdsClient) {
+    let (script, view) = (&xds_client.script, &xds_client.view);
+    let last_responses = &view.log[view.log.len().saturating_sub(MAX_SHOWN_RESPONSES)..];
+    assert!(
+        view.gaps.is_empty(),
+        "proxy {}, delta {}: routes to clusters without endpoints: {:?}; last responses: {last_responses:?}",
+        script.id,
+        script.delta,
+        view.gaps
+    );
 }
 
-fn delta_request(ask: DiscoveryRequest) -> DeltaRequest {
+fn delta_request(request: DiscoveryRequest) -> DeltaRequest {
     DeltaRequest {
-        type_url: ask.url,
-        subscribe: ask.subscribe,
-        unsubscribe: ask.unsubscribe,
-        initial_versions: ask.initial.into_iter().collect(),
-        nonce: ask.nonce,
-        rejection: ask.rejection,
+        type_url: request.url,
+        subscribe: request.subscribe,
+        unsubscribe: request.unsubscribe,
+        initial_versions: request.initial.into_iter().collect(),
+        nonce: request.nonce,
+        rejection: request.rejection,
     }
 }
 
-fn state_of_the_world_request(ask: DiscoveryRequest) -> StateOfTheWorldRequest {
+fn state_of_the_world_request(request: DiscoveryRequest) -> StateOfTheWorldRequest {
     StateOfTheWorldRequest {
-        type_url: ask.url,
-        version: ask.version,
-        nonce: ask.nonce,
-        resource_names: ask.names,
-        rejection: ask.rejection,
+        type_url: request.url,
+        version: request.version,
+        nonce: request.nonce,
+        resource_names: request.names,
+        rejection: request.rejection,
     }
 }
 
-/// The response as a proxy reads it.
-fn answer(response: &Response) -> DiscoveryResponse {
+/// Converts a response to the form in which a proxy handles it.
+fn to_discovery_response(response: &Response) -> DiscoveryResponse {
     let url = response.resource_type.type_url();
     let content = |resource: &Resource| Any { type_url: url.clone(), value: resource.body.clone() };
     let resources = response.resources.iter().map(|resource| ReceivedResource {
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and endpoint entries that tests and the example have in common.
+//! Settings, endpoint entries and options that the tests and the example share.
 #![allow(dead_code, reason = "each program uses a part of it")]
 
 use balancer::Micros;
@@ -12,24 +12,24 @@
 pub const ZONES: [&str; 3] = ["east", "north", "west"];
 const MICROS_PER_MILLISECOND: Micros = 1000;
 
-/// The address of a node.
+/// Returns the address of the node with this index.
 pub fn address(node: usize) -> SocketAddr {
     ([127, 1, (node / 250) as u8, (node % 250) as u8 + 1], 9000).into()
 }
 
-/// The id of a node.
+/// Returns the ID of the node with this index.
 pub fn node_id(node: usize) -> String {
     format!("n{node:04}")
 }
 
-/// A node's entry in the endpoint list. Nodes are assigned to replica sets and zones in turn.
-pub fn entry(node: usize, replica_sets: usize, state: &str, started_at: Micros) -> Json {
+/// Returns a node's entry in the endpoint list. Nodes are assigned to replica sets and zones in turn.
+pub fn endpoint_entry(node: usize, replica_sets: usize, state: &str, started_at: Micros) -> Json {
     let zone = ZONES[node / replica_sets % ZONES.len()];
     let started_at_ms = started_at / MICROS_PER_MILLISECOND;
     member(&node_id(node), &address(node).to_string(), zone, node % replica_sets, state, started_at_ms)
 }
 
-/// The platform's settings.
+/// Returns the site settings. They have one service class of each kind of idempotency.
 pub fn settings(replica_sets: usize, replica_sets_per_shard: usize) -> Json {
     json!({"tickNs": 5_000_000, "registryMode": "push", "zones": ZONES, "instances": 4,
         "familyInfo": {"sets": replica_sets, "shards": 2 * replica_sets, "width": replica_sets_per_shard,
@@ -46,11 +46,11 @@
             {"name": "pay", "idempotency": "idempotency_key", "deadlineNs": 2_000_000_000u64}]})
 }
 
-/// A configuration with these endpoints.
+/// Returns a configuration with these cached endpoints.
 pub fn config(replica_sets: usize, replica_sets_per_shard: usize, endpoints: Vec<Json>) -> Config {
     let mut settings = settings(replica_sets, replica_sets_per_shard);
-    // The router rejects classes with idempotency keys at its start, so the last class is left out.
-    let classes = settings["services"].as_array_mut().expect("classes");
+    // `Config::parse` rejects service classes with idempotency keys, so the last class is left out.
+    let classes = settings["services"].as_array_mut().expect("an array of service classes");
     classes.truncate(2);
     let json = json!({"name": "c0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "2a",
         "limits": {"sockets": 64}, "known": {"revision": 1, "complete": true, "members": endpoints},
@@ -58,8 +58,8 @@
     Config::parse(&json.to_string()).expect("a valid configuration")
 }
 
-/// Options from the text of section `[control]`.
-pub fn options(text: &str) -> Options {
-    let mut file = ConfigFile::parse("test", &format!("[control]\n{text}\n")).expect("INI");
+/// Returns the options that these lines of section `[control]` set.
+pub fn options(lines: &str) -> Options {
+    let mut file = ConfigFile::parse("test", &format!("[control]\n{lines}\n")).expect("a valid INI file");
     Options::read(&mut file.section("control")).expect("valid options")
 }
