--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -27,7 +27,7 @@
         /// Maximum number of shard requests in flight.
         capacity: f64,
     },
-    /// The node has not answered since its last error.
+    /// The node failed, and its later answers do not outweigh the failures yet.
     Suspect {
         /// Maximum number of shard requests in flight.
         capacity: f64,
@@ -36,7 +36,7 @@
     WarmingUp {
         /// Maximum number of shard requests in flight.
         capacity: f64,
-        /// Fraction of a warm node's load that the node can handle.
+        /// Fraction of a warm node's load that the node may receive.
         share: f64,
     },
     /// The node failed and receives no requests until this time.
@@ -47,7 +47,7 @@
     Removed,
 }
 
-/// Operations that the balancer requests from a front end. The default implementations do nothing; a front end
+/// Operations that the balancer requests from a front end. Optional operations do nothing by default; a front end
 /// overrides those that it supports.
 #[allow(unused_variables, reason = "the defaults ignore what they are asked")]
 pub trait Actions {
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -102,8 +102,9 @@
         self.admission.reserve(&choices);
     }
 
-    /// Deviation: where nodes reject attempts, abandons up to half of the weight that the minimum does not require.
-    /// Otherwise queries that need only some answers would take capacity of an overloaded replica set from others.
+    /// Deviation: where nodes reject attempts, abandons shard requests while the remaining weight is at least halfway
+    /// between the minimum and the required completeness. Otherwise queries that need only some answers would take
+    /// capacity of an overloaded replica set from others.
     pub(super) fn abandon_surplus(&mut self, now: Micros, id: QueryId) {
         let query = &self.queries[id];
         let class = &self.classes[query.class];
@@ -120,7 +121,7 @@
             let is_partial = possible_weight + WEIGHT_TOLERANCE < required;
             let was_rejected = || is_partial && request.attempts.last().is_some_and(is_rejecting);
             let all_replicas_reject = || self.shards.replicas(request.shard).iter().all(is_rejecting);
-            let is_surplus = request.is_idle() && possible_weight - request.weight >= min_kept_weight;
+            let is_surplus = request.awaits_attempt() && possible_weight - request.weight >= min_kept_weight;
             if is_surplus && (was_rejected() || all_replicas_reject()) {
                 possible_weight -= request.weight;
                 self.queries[request_id].abandon();
@@ -147,13 +148,16 @@
         let is_enabled = crashes >= CANARY_CRASH_THRESHOLD;
         if std::mem::replace(&mut self.admission.canary_mode, is_enabled) != is_enabled {
             let mode = if is_enabled { "enabled" } else { "disabled" };
-            actions.log(&format!("canary attempts {mode}; recent node crashes counted: {crashes}"));
+            actions.log(&format!(
+                "canary attempts {mode}; recent node crashes: {crashes} \
+                 (counted up to {CANARY_CRASH_THRESHOLD})"
+            ));
         }
     }
 
     /// Contains a poison query, which crashes each node that executes it. After a canary attempt or a crash, further
     /// attempts wait for the first answer, or until the last attempt is late. Without an answer the query ends once two
-    /// nodes have crashed under it and no attempt is in flight.
+    /// nodes have crashed during it and no attempt is in flight.
     pub(super) fn wait_for_canary(
         &mut self, now: Micros, id: QueryId, _actions: &mut dyn Actions,
     ) -> StageResult {
@@ -162,7 +166,7 @@
             return StageResult::Continue;
         }
         let in_flight = self.queries.in_flight(id);
-        // The latency above which an attempt is late is that of node 0, whichever nodes were used.
+        // The latency above which an attempt is late is that of node 0 in its zone, whichever nodes were used.
         let is_late = || now - in_flight.last_sent_at > self.late_after(query.class, NodeId(0));
         if in_flight.attempts > 0 && !is_late() {
             return StageResult::Wait;
--- a/crates/balancer/src/policy/completion.rs
+++ b/crates/balancer/src/policy/completion.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the time from which a partial answer is given. Deviation: this is the latency objective where a partial
-    /// answer then is worth more than a complete one later, otherwise the deadline.
+    /// answer then is worth more than a complete one later, otherwise the deadline; in both cases less `answer_margin`.
     fn partial_answer_at(&self, query: &Query, progress: &Progress, required: f64) -> Micros {
         let class = &self.classes[query.class];
         let is_worth_more = class.partial_value * progress.answered_weight / required > class.late_value;
--- a/crates/balancer/src/policy/discovery.rs
+++ b/crates/balancer/src/policy/discovery.rs
@@ -22,8 +22,8 @@
         actions.log(&format!("discovery unreachable, next request in {milliseconds} ms"));
     }
 
-    /// Requests the endpoint list where it must be polled, and keeps a timer set while a query is open or the list is
-    /// polled.
+    /// Where discovery must be polled, requests the endpoint list until the watch on it is active. Keeps a timer set
+    /// during that time and while a query is open.
     pub(super) fn schedule(&mut self, now: Micros, actions: &mut dyn Actions) {
         let has_open_queries = !self.queries.open().is_empty();
         let discovery = &mut self.discovery;
--- a/crates/balancer/src/policy/health.rs
+++ b/crates/balancer/src/policy/health.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Balancer {
-    /// Records the end of an attempt. One that was lost on a connection idle for `max_idle_time` or longer is not
-    /// counted, since it says nothing about the health of the node.
+    /// Records the end of an attempt. One that was lost after the node had been idle for `max_idle_time` or longer does
+    /// not affect the node's health and concurrency limit, since the connection may have been dropped while idle.
     pub(crate) fn observe_attempt(&mut self, now: Micros, attempt: &InFlightAttempt, end: &AttemptEnd) {
         let &AttemptEnd { node, outcome, latency, .. } = end;
         let class = self.queries.query_of(attempt.shard_request).class;
@@ -24,7 +24,8 @@
     }
 
     /// Records answers and rejections for pacing. One node that rejects everything does not indicate overload as
-    /// long as another answers, so the first rejection of a shard request is counted only with the second.
+    /// long as another answers, so the first rejection of a shard request is counted only with the second. An earlier
+    /// attempt that could not connect or was not sent stands for the first rejection.
     fn record_pacing_sample(&mut self, now: Micros, id: ShardRequestId, outcome: AttemptOutcome) {
         let (value, count) = match (outcome, self.queries[id].proven_not_executed) {
             (AttemptOutcome::Succeeded, _) => (0.0, 1),
@@ -68,8 +69,8 @@
         let is_cancelled_or_timed_out =
             matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::TimedOut);
         let is_late = latency > late_after;
-        // A node that answered while the connection attempt was in progress has not crashed; connections may be
-        // established late.
+        // A node that answered another attempt while this one was in flight has not crashed: connections may take too
+        // long to establish.
         let answered_since_sent = (now - latency + 1..=now).contains(&node.last_activity_at);
         if !outcome.proves_not_executed() && (!is_cancelled_or_timed_out || is_late) {
             node.failures.push(now, (outcome != AttemptOutcome::Succeeded) as u8 as f64);
@@ -77,8 +78,8 @@
         match outcome {
             AttemptOutcome::Succeeded => self.record_success(now, observation, typical_latency),
             AttemptOutcome::Rejected => self.record_rejection(now, id, typical_latency),
-            // The response may have been corrupted or lost in the network, so the node is not ejected. It gets one
-            // batch at a time until it answers.
+            // The response may have been corrupted or lost in the network, so the node is not ejected. It gets at most
+            // one batch at a time until it answers.
             AttemptOutcome::MalformedResponse | AttemptOutcome::ConnectionLost => node.suspect_since = now,
             AttemptOutcome::ConnectFailed if !answered_since_sent => {
                 // The endpoint list may report a restart late, so an unreachable node counts as warming up until it
@@ -137,8 +138,9 @@
     }
 
     /// Records whether an attempt was lost after an idle time, and sets `max_idle_time` to the shortest idle time over
-    /// 100 ms from which more than a fifth of the attempts are lost. A lossy network or an unresponsive node loses
-    /// attempts after any idle time, so losses must also be more than twice as frequent as after shorter idle times.
+    /// 100 ms from which at least two attempts, and more than a fifth of all attempts, are lost. A lossy network or an
+    /// unresponsive node loses attempts after any idle time, so losses must also be more than twice as frequent as
+    /// after shorter idle times.
     pub(super) fn record_idle_time(&mut self, now: Micros, is_lost: bool, idle_time: Micros) {
         let (from, idle_times) = (now - CRASH_WINDOW, &mut self.statistics.idle_times);
         idle_times.push(now, if is_lost { -idle_time as f64 } else { idle_time as f64 });
@@ -156,8 +158,8 @@
     }
 
     /// Adjusts the concurrency limit of a node. A rejection, or a latency above a quarter of the latency objective plus
-    /// the cross-zone latency, reduces it, at most once per latency; any other success raises it. A limit below one
-    /// batch pauses the node.
+    /// the cross-zone latency, reduces it unless the attempt was sent before the last reduction; any other success
+    /// raises it. A limit below one batch becomes a pause between batches.
     pub(super) fn adjust_concurrency_limit(&mut self, now: Micros, observation: Observation) {
         let Observation { node: id, class, outcome, latency } = observation;
         let (batch, min_limit) = (self.deployment.max_batch.max(2) as f64, self.min_concurrency_limit());
@@ -220,7 +222,7 @@
             _ if (0..self.classes.len()).any(|class| state.is_suspect(class)) => {
                 EndpointHealth::Suspect { capacity: self.min_concurrency_limit() }
             }
-            Some(SlowStart { share, .. }) if share < 1.0 => {
+            Some(SlowStart { window_share: share, .. }) if share < 1.0 => {
                 EndpointHealth::WarmingUp { capacity: capacity * share, share }
             }
             _ => EndpointHealth::Healthy { capacity },
--- a/crates/balancer/src/policy/retries.rs
+++ b/crates/balancer/src/policy/retries.rs
@@ -18,8 +18,8 @@
         if any_abandoned { self.complete(now, id, actions) } else { StageResult::Continue }
     }
 
-    /// Abandons the shard requests whose retries exceed the retry budget, and returns whether there are any. The
-    /// client's own retry benefits from what this router has learned of the nodes by then.
+    /// Abandons the shard requests whose retries exceed the retry budget, and returns whether there are any. The client
+    /// may retry the query, and by then this router has more measurements of the nodes.
     fn abandon_beyond_budget(&mut self, now: Micros, shard_requests: &[ShardRequestId]) -> bool {
         let needs_retry = |id: &ShardRequestId| self.queries[*id].needs_retry();
         let awaiting_retry: Vec<ShardRequestId> =
@@ -101,8 +101,8 @@
             || choice.preference >= Preference::Healthy && is_new_node
     }
 
-    /// Returns how many more retries, or hedged attempts, the retry budget allows. Hedged attempts may use half of the
-    /// budget, and a tenth of the recent arrivals plus four.
+    /// Returns how many more retries, or hedged attempts, the retry budget allows. Hedged attempts may use at most half
+    /// of the budget, and no more than four plus a tenth of the recent arrivals.
     pub(super) fn budget_left(&self, now: Micros, repeat: Repeat) -> f64 {
         let (is_hedge, arrivals) = (repeat == Repeat::Hedge, &self.admission.arrivals);
         let configured = self.deployment.retry_budget.map_or(f64::INFINITY, |budget| {
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -89,16 +89,16 @@
     }
 
     /// Returns how much a node is preferred by itself: `Unavailable` during an ejection or a rejection backoff,
-    /// `Degraded` if an attempt is late, if the node is suspect and in use, or if it fails too often for a
-    /// non-idempotent shard request, otherwise `Healthy`.
+    /// `Degraded` if an attempt is late, if the node is suspect with attempts in flight or, for a non-idempotent class,
+    /// if it is suspect or fails too often; otherwise `Healthy`.
     pub(super) fn preference(&self, now: Micros, id: NodeId, class: usize) -> Preference {
         let node = &self.nodes[id];
         if node.class_health(class).ejected_until > now || node.rejection_backoff_until > now {
             return Preference::Unavailable;
         }
         let is_late = node.oldest_sent_at().is_some_and(|at| now - at > self.late_after(class, id));
-        // A non-idempotent shard request may not be retried once it may have been executed, so its node must have
-        // failed less than a tenth of its recent attempts.
+        // A non-idempotent shard request may not be retried once it may have been executed, so its node must not be
+        // suspect and must have failed less than a tenth of its recent attempts.
         let is_suspect = node.is_suspect(class);
         let is_reliable = !is_suspect && node.failure_share(now - RECENT_WINDOW) < 0.1;
         let is_too_unreliable = !is_reliable && self.classes[class].idempotency == Idempotency::NonIdempotent;
@@ -142,8 +142,8 @@
         self.shards.holds(self.nodes[node].replica_set, self.queries[id].shard)
     }
 
-    /// Returns the median latency of a node, or of all nodes where it has none, but no less than the age of its oldest
-    /// attempt in flight.
+    /// Returns the median latency of a node, but no less than the age of its oldest attempt in flight. Without recent
+    /// latencies of the node, the median of all nodes plus the cross-zone latency is used, or 1 without any latency.
     fn expected_latency(&self, now: Micros, id: NodeId) -> f64 {
         let node = &self.nodes[id];
         let median = self.statistics.median_latency();
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -4,8 +4,8 @@
 use super::*;
 
 impl Balancer {
-    /// Returns since when a node has been warming up and the share of work that the cold-overload rule allows it;
-    /// `None` for a warm node.
+    /// Returns since when a node has been warming up and how much work the cold-overload rule allows it; `None` for a
+    /// warm node.
     pub(super) fn slow_start(&self, now: Micros, id: NodeId) -> Option<SlowStart> {
         let (node, rule) = (&self.nodes[id], &self.deployment.cold_overload);
         let has_recent_start = node.started_at != 0 && now - node.started_at < rule.warm_up;
@@ -22,13 +22,13 @@
         let is_warming_up = since != 0 && age < rule.warm_up;
         is_warming_up.then(|| SlowStart {
             since,
-            share: share_at(age - rule.window),
+            window_share: share_at(age - rule.window),
             current_share: share_at(age),
             reason,
         })
     }
 
-    /// Whether slow start allows a node a batch of `planned` shard requests.
+    /// Whether slow start allows a batch of `planned` shard requests to be sent to a node.
     pub(super) fn slow_start_allows(&self, now: Micros, id: NodeId, planned: usize, class: usize) -> bool {
         let Some(slow_start) = self.slow_start(now, id) else { return true };
         let fits_window =
@@ -56,8 +56,9 @@
         (1..=wanted).take_while(fits).count()
     }
 
-    /// Whether this router's share of a window is all that a node may be sent. This is so if its start is listed, since
-    /// only then the cold-overload rule is binding, and if an equal share holds a batch at all.
+    /// Whether a node may be sent no more than this router's share of a window. This holds if the endpoint list states
+    /// the recent start of the node, since only then the cold-overload rule is binding, and if an equal share of the
+    /// window holds a batch of one shard request.
     fn is_limited_to_window(&self, slow_start: &SlowStart, class: usize) -> bool {
         slow_start.reason == WarmUpReason::RecentStart && self.equal_share_holds_batch(slow_start, class)
     }
@@ -65,7 +66,7 @@
     /// Whether an equal share of the work that all routers may send in a window holds a batch of one shard request.
     fn equal_share_holds_batch(&self, slow_start: &SlowStart, class: usize) -> bool {
         let window = self.deployment.cold_overload.window as f64;
-        self.estimated_batch_work(1, class) <= slow_start.share * window / self.deployment.routers
+        self.estimated_batch_work(1, class) <= slow_start.window_share * window / self.deployment.routers
     }
 
     /// Whether `work` fits into this router's share of a window: the larger of an equal share and of the share that
@@ -74,7 +75,7 @@
     fn fits_window(&self, now: Micros, id: NodeId, slow_start: &SlowStart, work: f64) -> bool {
         let window = self.deployment.cold_overload.window;
         let router_share = self.statistics.mean_utilization().max(1.0 / self.deployment.routers);
-        let allowance = slow_start.share * window as f64 * router_share;
+        let allowance = slow_start.window_share * window as f64 * router_share;
         self.nodes[id].work_sent.sum(now - window) + work <= allowance
     }
 
--- a/crates/balancer/src/policy/tests/admission.rs
+++ b/crates/balancer/src/policy/tests/admission.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_shard_request_under_which_a_node_crashed_is_retried_once_another_is_answered() {
+fn a_shard_request_during_which_a_node_crashed_is_retried_once_another_is_answered() {
     let mut balancer = balancer(Idempotency::Idempotent);
     arrive(&mut balancer, 0, 2);
     decide(&mut balancer, NOW);
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn a_rejected_shard_request_of_an_incomplete_query_is_abandoned() {
+fn a_rejected_shard_request_is_abandoned_once_the_query_can_only_be_partial() {
     let mut balancer = balancer_with_partial_query(0.5, &[]);
     assert_eq!(decide(&mut balancer, NOW).len(), 4);
     end_attempt(&mut balancer, NOW + 9, attempt(1, 0), NodeId(0), AttemptOutcome::Rejected, 9);
--- a/crates/balancer/src/policy/tests/completion.rs
+++ b/crates/balancer/src/policy/tests/completion.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_second_step_needs_all_its_shard_requests() {
+fn a_query_with_a_second_step_is_answered_once_for_each_step() {
     let mut balancer =
         balancer_with(Idempotency::Idempotent, |settings| settings.classes[0].second_step = true);
     arrive(&mut balancer, 0, 1);
--- a/crates/balancer/src/policy/tests/discovery.rs
+++ b/crates/balancer/src/policy/tests/discovery.rs
@@ -4,7 +4,7 @@
 use super::*;
 
 #[test]
-fn a_draining_or_unlisted_node_gets_nothing_new() {
+fn a_draining_or_unlisted_node_receives_no_new_attempts() {
     let mut balancer = balancer(Idempotency::Idempotent);
     update_endpoints(&mut balancer, EndpointUpdate::Incremental, &[(0, EndpointState::Draining, 0)]);
     assert_eq!(balancer.shards.replicas(0), [NodeId(1)]);
--- a/crates/balancer/src/policy/tests/health.rs
+++ b/crates/balancer/src/policy/tests/health.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_rejecting_node_is_not_used_until_it_answers() {
+fn a_node_is_unavailable_after_a_rejection_until_it_answers() {
     let mut balancer = balancer(Idempotency::Idempotent);
     balancer.record_observation(NOW, observation(0, 0, AttemptOutcome::Rejected, 5));
     assert_eq!(balancer.preference(NOW + 50_000, NodeId(0), 0), Preference::Unavailable);
--- a/crates/balancer/src/policy/tests/rig.rs
+++ b/crates/balancer/src/policy/tests/rig.rs
@@ -6,7 +6,7 @@
     LimitSettings, RuleSettings, Settings, ShardRequestArrival, ShardSettings, TenantSettings,
 };
 
-/// Records the actions that the balancer asks for, one line each.
+/// Records the actions that the balancer requests, one line each.
 #[derive(Default)]
 pub struct Recorder(pub Vec<String>);
 
@@ -93,7 +93,7 @@
     ShardRequestArrival { shard_request: ShardRequestId(id), query: QueryId(query), shard, weight, work: 0 }
 }
 
-/// An attempt at a shard request.
+/// The identifier of an attempt of a shard request.
 pub fn attempt(shard_request: usize, number: usize) -> AttemptId {
     AttemptId::new(ShardRequestId(shard_request), AttemptNumber(number))
 }
@@ -120,7 +120,7 @@
     Observation { node: NodeId(node), class, outcome, latency }
 }
 
-/// Lets the balancer decide, and returns the actions that it asks for.
+/// Lets the balancer decide, and returns the actions that it requests.
 pub fn decide(balancer: &mut Balancer, now: Micros) -> Vec<String> {
     let mut recorder = Recorder::default();
     balancer.decide(now, &mut recorder);
--- a/crates/balancer/src/state/admission_state.rs
+++ b/crates/balancer/src/state/admission_state.rs
@@ -39,7 +39,7 @@
     pub paced_until: Micros,
     /// One sample for each crash of a node.
     pub crashes: SlidingWindow,
-    /// Whether a canary attempt is sent ahead of each query because many nodes crashed recently.
+    /// Whether each query starts with a canary attempt because many nodes crashed recently.
     pub canary_mode: bool,
     /// Recent queries during which several nodes crashed.
     pub poison_queries: Vec<PoisonQuery>,
--- a/crates/balancer/src/state/candidate.rs
+++ b/crates/balancer/src/state/candidate.rs
@@ -7,8 +7,8 @@
 pub enum Preference {
     /// The node is ejected or in the backoff after a rejection.
     Unavailable,
-    /// The node has a late attempt, is suspect with attempts in flight, or fails too often for a non-idempotent
-    /// class.
+    /// The node has a late attempt, is suspect with attempts in flight, or, for a non-idempotent class, is suspect
+    /// or fails too often.
     Degraded,
     /// None of the above applies, but the node's estimated latency is much higher than the lowest. Also the
     /// value of all such nodes before their latencies are compared.
--- a/crates/balancer/src/state/node.rs
+++ b/crates/balancer/src/state/node.rs
@@ -42,7 +42,7 @@
     pub since: Micros,
     /// Work that the node may receive in a window ending now, as a fraction of the window's length; based on
     /// the node's capacity at the beginning of the window.
-    pub share: f64,
+    pub window_share: f64,
     /// The same fraction, based on the node's current capacity.
     pub current_share: f64,
     /// Why the node is considered to be warming up.
@@ -79,7 +79,8 @@
     pub concurrency_limit: f64,
     /// Time of the last reduction of the concurrency limit; 0 if it was never reduced.
     pub limit_reduced_at: Micros,
-    /// Time until which the node receives no attempts while its concurrency limit is below one batch.
+    /// Time until which the node receives no attempts while its concurrency limit is below one batch; 0 if the
+    /// limit never was.
     pub paused_until: Micros,
     /// Whether the last attempt reached the concurrency limit.
     pub reached_limit: bool,
@@ -87,8 +88,8 @@
     pub in_flight: Vec<InFlightAttempt>,
     /// Latencies of answered attempts, and lower bounds for unanswered ones.
     pub latencies: SlidingWindow,
-    /// Failure rate, as samples of 0 for an answered attempt and 1 for an unanswered one that may have been
-    /// executed.
+    /// Failure rate of the attempts that may have been executed, as samples of 0 for a success and 1 for a failure.
+    /// Cancelled and timed-out attempts count only if they were late.
     pub failures: SlidingWindow,
     /// Work sent, one sample for each attempt.
     pub work_sent: SlidingWindow,
@@ -97,14 +98,16 @@
     /// Time of the node's last answer, or of closing the idle connections to it; `Micros::MAX` before the
     /// first.
     pub last_activity_at: Micros,
-    /// Time of the last malformed response or lost connection; 0 if the node has answered since.
+    /// Time of the last malformed response or lost connection; 0 if there was none or the node has answered since.
     pub suspect_since: Micros,
-    /// Time of the last connection failure; 0 if the node has since answered as fast as a warm node.
+    /// Time of the last connection failure; 0 if there was none or the node has since answered as fast as a warm
+    /// node.
     pub last_connect_failure_at: Micros,
     /// Number of rejections since the last answer, up to a maximum. Rejections during the backoff after an
     /// earlier one do not count.
     pub consecutive_rejections: u32,
-    /// Time until which the node receives no attempts after it rejected one.
+    /// Time until which the node receives no attempts after it rejected one; 0 before the
+    /// first rejection or answer.
     pub rejection_backoff_until: Micros,
     /// Last load report; `None` if there was none.
     pub reported_load: Option<ReportedLoad>,
@@ -177,7 +180,7 @@
         self.consecutive_rejections > 0 && self.rejection_backoff_until > from
     }
 
-    /// Records an answer, which ends the backoff after rejections and the suspicion after lost connections.
+    /// Records an answer, which ends the backoff after rejections and clears `suspect_since`.
     pub fn record_answer(&mut self, now: Micros, class: usize, latency: Micros) {
         self.class_health_mut(class).last_success_at = now;
         self.consecutive_rejections = 0;
@@ -187,7 +190,7 @@
         self.latencies.push(now, latency as f64);
     }
 
-    /// Returns the fraction of the attempts since `from` that failed and may have been executed.
+    /// Returns the fraction of failures in `failures` since `from`; 0 if there are no samples.
     pub fn failure_share(&self, from: Micros) -> f64 {
         self.failures.sum(from) / self.failures.count(from).max(1) as f64
     }
--- a/crates/balancer/src/state/query.rs
+++ b/crates/balancer/src/state/query.rs
@@ -20,7 +20,8 @@
     pub class: usize,
     /// Index of the tenant.
     pub tenant: usize,
-    /// Rank in the admission queue; queries with lower ranks are admitted first.
+    /// Rank in the admission queue: 0 if the query is within its tenant's quota, 1 if it exceeds the quota. Queries
+    /// are admitted by ascending rank, to which 1 is added if they would miss their latency objective.
     pub queue_rank: u8,
     /// Time by which the query should be answered.
     pub latency_objective: Micros,
--- a/crates/balancer/src/state/service_class.rs
+++ b/crates/balancer/src/state/service_class.rs
@@ -41,7 +41,7 @@
     pub second_step: bool,
     /// Durations of complete queries from their admission.
     pub durations: SlidingWindow,
-    /// Expected duration of a query from its admission; computed in each decision.
+    /// Expected duration of a query from its admission, computed in each decision; 0 without recent durations.
     pub expected_duration: Micros,
     /// Timeouts that clients set for their queries: time from arrival to deadline.
     pub query_timeouts: SlidingWindow,
--- a/crates/balancer/src/state/shard_request.rs
+++ b/crates/balancer/src/state/shard_request.rs
@@ -80,7 +80,7 @@
 
     /// Returns whether attempts were made and all of them have ended without an answer.
     pub fn needs_retry(&self) -> bool {
-        self.is_idle() && !self.attempts.is_empty()
+        self.awaits_attempt() && !self.attempts.is_empty()
     }
 
     /// Returns the kind of the next attempt, given that there was one before.
@@ -89,7 +89,7 @@
     }
 
     /// Returns whether the shard request is pending without an attempt in flight.
-    pub fn is_idle(&self) -> bool {
+    pub fn awaits_attempt(&self) -> bool {
         self.is_pending() && self.in_flight == 0
     }
 
