--- a/crates/cli/src/check.rs
+++ b/crates/cli/src/check.rs
@@ -17,7 +17,7 @@
 }
 
 impl Check {
-    /// Checks both files. Prints the name of the configuration if both are valid.
+    /// Checks both files. Prints the router's name and that the configuration is valid if both are.
     pub fn run(self) -> Result<(), CliError> {
         let mut file = read_operator_file(self.operator)?;
         file.log_format()?;
--- a/crates/soak/src/checker/answers.rs
+++ b/crates/soak/src/checker/answers.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Checks the body of a response. The error says what is wrong with it.
+/// Checks the body of a response. The error describes the first fault.
 fn check_body(id: &str, shards: &[usize], body: &str) -> Result<(), &'static str> {
     let body: Json = serde_json::from_str(body).map_err(|_| "the body is not valid JSON")?;
     let matches = body["matches"].as_array().ok_or("the body has no array `matches`")?;
@@ -104,7 +104,7 @@
     }
     let is_complete = seen.len() == shards.len();
     if seen.is_empty() || body["all_in"] == Json::Bool(true) && !is_complete {
-        return Err("no match is present, or it is marked complete while shards are missing");
+        return Err("the body has no match, or is marked complete while shards are missing");
     }
     Ok(())
 }
--- a/crates/soak/src/checker/kills.rs
+++ b/crates/soak/src/checker/kills.rs
@@ -9,7 +9,7 @@
 /// How long after the end of a process its clients may detect it.
 const DETECTION_TIMEOUT: Micros = SECOND;
 
-/// A kill of a router's process.
+/// A kill or a crash of a router's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Kill {
     at: Micros,
@@ -19,7 +19,7 @@
 
 impl Checker<'_> {
     /// Whether a request that was sent at `requested_at` and lost at `lost_at` may be lost because its router was
-    /// killed, either without SIGTERM or with the request sent late enough after SIGTERM.
+    /// killed or crashed, either without SIGTERM or with the request sent late enough after SIGTERM.
     pub(super) fn is_excused_by_kill(&self, router: usize, requested_at: Micros, lost_at: Micros) -> bool {
         let kills = kills(&self.cluster.routers[router].events);
         kills.iter().any(|kill| excuses(kill, requested_at, lost_at))
@@ -35,7 +35,7 @@
     overlaps_kill && !must_be_answered
 }
 
-/// Returns the kills of a router, each with the time of SIGTERM to the same process.
+/// Returns the kills and crashes of a router, each with the time of SIGTERM to the same process.
 fn kills(events: &[(Micros, RouterEvent)]) -> Vec<Kill> {
     let mut terminated_at = None;
     let mut kills = Vec::new();
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -20,11 +20,11 @@
 const MEASUREMENT_SLACK: Micros = 150 * MILLISECOND;
 /// Measurement error of the time of an attempt: its bytes pass a proxy before the node records them.
 const ATTEMPT_MEASUREMENT_SLACK: Micros = 50 * MILLISECOND;
-/// Length from which a stall suggests that other processes were stalled as well.
+/// A stall longer than this suggests that other processes were stalled as well.
 const LONG_STALL: Micros = 20 * MILLISECOND;
 /// How long before the start of a long stall other processes may have been stalled.
 const STALL_RANGE: Micros = SECOND;
-/// How much the remaining time that an attempt states may exceed the time that its client has left.
+/// How much the remaining time that an attempt states may exceed the time until the deadline of its request.
 const DEADLINE_SLACK: Micros = 150 * MILLISECOND;
 /// How long a router may be delayed between reading its clock and writing to a connection.
 const MAX_ROUTER_DELAY: Micros = 150 * MILLISECOND;
@@ -32,7 +32,8 @@
 const MAX_SEND_AFTER_END: Micros = 100 * MILLISECOND;
 /// Time within which a router has to respond to a truncated request or close its connection.
 const TRUNCATED_REQUEST_LIMIT: Micros = 3 * SECOND;
-/// How long after the end of a delay requests that were sent before may still reach the node.
+/// How long after the end of a stall, or of a delay of a node or its proxy, requests that were sent before the end may
+/// still reach the node.
 const MAX_DELIVERY_DELAY: Micros = 1200 * MILLISECOND;
 
 /// A violation of a rule.
@@ -95,13 +96,13 @@
     cluster: &'a Cluster,
     requests: BTreeMap<&'a str, Request<'a>>,
     attempts: Vec<Attempt<'a>>,
-    /// Long stalls of the processes of the run.
+    /// Long stalls of the processes of the run, and periods in which the machine was overloaded.
     stalls: Vec<Stall>,
     violations: Vec<Violation>,
     peaks: Peaks,
 }
 
-/// A period in which a process of the run was not scheduled.
+/// A period in which a process of the run was not scheduled, or the machine was overloaded.
 #[derive(Clone, Copy, Debug)]
 struct Stall {
     from: Micros,
@@ -111,7 +112,7 @@
 /// Highest measured values, whether or not they exceed their bounds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Peaks {
-    /// How much the remaining time that an attempt stated exceeded the time that its client had left.
+    /// How much the remaining time that an attempt stated exceeded the time until the deadline of its request.
     pub deadline_excess: Micros,
     /// How long after the end of its request an attempt reached its node.
     pub after_end: Micros,
@@ -220,7 +221,7 @@
         if overlaps { MAX_ROUTER_DELAY } else { 0 }
     }
 
-    /// Whether a process of the run was stalled near this time, so that records do not show when the router wrote.
+    /// Whether there was a stall near this time, so that records do not show when the router wrote.
     fn is_near_stall(&self, at: Micros) -> bool {
         self.stalls
             .iter()
@@ -264,7 +265,8 @@
         })
     }
 
-    /// Checks that attempts arrive while their client waits, and state no more time than the client has left.
+    /// Checks that attempts arrive while their client waits, and that the remaining time that they state does not
+    /// exceed the time until the deadline of the request.
     fn check_attempts(&mut self) {
         let mut found = Vec::new();
         let mut peaks = Peaks::default();
@@ -342,7 +344,7 @@
                         *is_ended_by_router && *after <= TRUNCATED_REQUEST_LIMIT + MEASUREMENT_SLACK;
                     if !is_in_time && !self.is_excused_by_kill(*router, at - after, *at) {
                         let details = format!(
-                            "router {router}: truncated request still open after {} ms",
+                            "router {router}: connection with a truncated request was open for {} ms",
                             after / MILLISECOND
                         );
                         self.add("bad client kept", *at, details);
@@ -371,7 +373,11 @@
             }
             let Usage { descriptors, kibibytes } = router.peak;
             if descriptors > MAX_DESCRIPTORS || kibibytes > 1024 * MAX_MEMORY_MB {
-                let details = format!("router {}: {descriptors} descriptors, {kibibytes} KiB", router.index);
+                let details = format!(
+                    "router {}: {descriptors} descriptors (limit {MAX_DESCRIPTORS}), {kibibytes} KiB \
+                     (limit {MAX_MEMORY_MB} MiB)",
+                    router.index
+                );
                 self.violations.push(Violation { rule: "limits", at: 0, details });
             }
             for line in log.iter() {
--- a/crates/soak/src/checker/nodes.rs
+++ b/crates/soak/src/checker/nodes.rs
@@ -27,7 +27,7 @@
         let discovery_modes = &self.cluster.discovery_modes;
         let ends = discovery_modes.iter().skip(1).map(|(at, _)| *at).chain([Micros::MAX]);
         let mut periods =
-            discovery_modes.iter().zip(ends).filter(|((_, mode), _)| *mode == DiscoveryMode::Well);
+            discovery_modes.iter().zip(ends).filter(|((_, mode), _)| *mode == DiscoveryMode::Normal);
         periods.find_map(|(&(from, _), until)| {
             let from = from.max(since);
             (until >= from.saturating_add(DELIVERY_TIMEOUT)).then_some(from)
@@ -65,7 +65,8 @@
         }
     }
 
-    /// Checks that nodes that warm up get no more requests than they can handle.
+    /// Checks that nodes that warm up are not overloaded. An overload counts only if discovery had sent the start of
+    /// the node to the routers of more than two thirds of the requests.
     pub(super) fn check_cold_nodes(&mut self) {
         let mut found = Vec::new();
         for start in self.cluster.published.iter().filter(|change| change.is_ready && change.started_at > 0) {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,5 +1,5 @@
-//! A process of clients of one router. Each thread sends one query after another. Some queries it writes slowly,
-//! truncates, pipelines or abandons.
+//! The `client` command: a process with several clients of one router, each on its own thread. A client sends one query
+//! after another; it writes some of them slowly, truncates or pipelines them, or closes the connection early.
 
 use crate::clock::{MILLISECOND, Micros, SECOND, now, sleep_ms};
 use crate::config::{CLASSES, Class, SHARDS};
@@ -103,7 +103,7 @@
     connection: Option<Connection>,
 }
 
-/// A request for `shards` that states a deadline of `expires_ms` from now.
+/// A request for `shards` whose deadline is `expires_ms` after it is sent.
 #[derive(Clone)]
 struct Request {
     id: String,
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,4 +1,4 @@
-//! All processes of a run, the actions on them, and the times of those that the checks refer to.
+//! All processes of a run and the actions on them. Records the times of the actions that the checks refer to.
 
 use crate::clock::{Micros, now, wall_clock_ms};
 use crate::config::router_config;
@@ -105,7 +105,7 @@
             size,
             discovery_addresses: (0..size.routers).map(listen).collect(),
             discovery,
-            discovery_modes: vec![(now(), DiscoveryMode::Well)],
+            discovery_modes: vec![(now(), DiscoveryMode::Normal)],
             published: Vec::new(),
             node_delays: Vec::new(),
             router_delays: Vec::new(),
@@ -173,7 +173,7 @@
         self.send_to_clients(router, "open");
     }
 
-    /// Sends a command line to the clients of a router: `open` or `closed`.
+    /// Sends a command to the clients of a router: `open` or `closed`.
     pub fn send_to_clients(&mut self, router: usize, line: &str) {
         for (_, client) in self.clients.iter_mut().filter(|(of, _)| *of == router) {
             client.send_line(line);
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -19,7 +19,7 @@
 pub enum DiscoveryMode {
     /// Discovery works normally.
     #[default]
-    Well,
+    Normal,
     /// Watches are closed, and new calls get status 503.
     Down,
     /// Watches stay open without data, and calls get no response.
@@ -94,7 +94,7 @@
     pub fn set_mode(&self, mode: DiscoveryMode) {
         let mut state = self.lock();
         state.mode = mode;
-        state.available_since = (mode == DiscoveryMode::Well).then(now);
+        state.available_since = (mode == DiscoveryMode::Normal).then(now);
     }
 
     /// Resets the connections of all watches.
@@ -135,7 +135,7 @@
                 return Ok(());
             }
             DiscoveryMode::Slow => sleep_ms(700),
-            DiscoveryMode::Well => {}
+            DiscoveryMode::Normal => {}
         }
         if line.contains("watch=1") {
             let after = line.split("after=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
@@ -173,7 +173,7 @@
                     sleep_ms(20_000);
                     return Ok(());
                 }
-                DiscoveryMode::Slow | DiscoveryMode::Well => {}
+                DiscoveryMode::Slow | DiscoveryMode::Normal => {}
             }
             if let Some(message) = message {
                 write_chunk(&mut stream, &message)?;
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,4 +1,5 @@
-//! A process of a data node. Each line on standard input is the number of the behaviour that it switches to.
+//! The `node` command: a process that serves as a data node. Each line on standard input is the number of the behaviour
+//! to switch to.
 
 use crate::clock::{now, sleep_ms};
 use crate::config::MEAN_SERVICE_TIME_MS;
--- a/crates/soak/src/router_process.rs
+++ b/crates/soak/src/router_process.rs
@@ -80,7 +80,7 @@
         let address = free_address();
         let control_path = folder.join(format!("router-{index}.faults"));
         let operator_path = folder.join("operator.ini");
-        std::fs::write(&operator_path, "[log]\nlevel = debug\n").expect("write a file of the router");
+        std::fs::write(&operator_path, "[log]\nlevel = debug\n").expect("write the operator's file");
         RouterProcess {
             index,
             address,
@@ -101,13 +101,13 @@
 
     /// Writes the configuration file.
     pub fn write_config(&self, config: &Json) {
-        std::fs::write(&self.config_path, config.to_string()).expect("write a file of the router");
+        std::fs::write(&self.config_path, config.to_string()).expect("write the configuration file");
     }
 
     /// Writes the first half of the configuration file, as an interrupted writer leaves it.
     pub fn write_half_config(&self, config: &Json) {
         let text = config.to_string();
-        std::fs::write(&self.config_path, &text[..text.len() / 2]).expect("write a file of the router");
+        std::fs::write(&self.config_path, &text[..text.len() / 2]).expect("write the configuration file");
     }
 
     /// Starts a process and waits until it is ready.
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -150,7 +150,7 @@
             }
         }
         println!(
-            "seed {seed}: {} violations; {} requests, {} complete, {} rejected, {} failed; {} attempts, {} further; \
+            "seed {seed}: {} violations; {} requests, {} complete, {} rejected, {} failed; {} attempts, {} repeated; \
              {} actions, {faults} system calls failed; attempts at most {} ms beyond a deadline and {} ms \
              after the end of a request, longest stall {} ms, {} attempts near stalls checked by the wider bound",
             violations.len(),
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -13,7 +13,7 @@
 use rustix::process::Signal;
 
 /// How long after SIGTERM clients still connect to a router.
-const CLIENT_CLOSE_DELAY_MS: i64 = 300;
+const CONNECT_PERIOD_AFTER_SIGTERM_MS: i64 = 300;
 /// A router is killed this long after SIGTERM plus the longest deadline, counted up to [`MAX_COUNTED_DEADLINE_MS`].
 const KILL_DELAY_MS: i64 = 700;
 /// Upper bound of the longest deadline in the time from SIGTERM to the kill.
@@ -42,7 +42,7 @@
     /// Kills the process of a router with this generation if it still runs after SIGTERM.
     KillTerminated(usize, usize),
     /// Makes the clients of a router open no more connections.
-    CloseFront(usize),
+    StopNewConnections(usize),
     KillRouter(usize),
     StartRouter(usize),
     Reload(usize),
@@ -51,7 +51,7 @@
     PauseRouter(usize),
     FailCalls(usize),
     /// Delays some of the calls by which a router sends data.
-    HoldUpCalls(usize),
+    DelayCalls(usize),
     ClearFaults(usize),
     StepClock(usize, i64),
     SetBehaviour(usize, Behaviour),
@@ -64,11 +64,11 @@
     PauseNode(usize),
     ResumeNode(usize),
     /// Changes how the proxy of a node forwards bytes.
-    SetPath(usize, Forwarding),
+    SetForwarding(usize, Forwarding),
     /// Resets the open connections through the proxy of a node.
-    ResetPath(usize),
+    ResetProxyConnections(usize),
     /// Changes how discovery responds.
-    SetMood(DiscoveryMode),
+    SetDiscoveryMode(DiscoveryMode),
     ResetWatches,
 }
 
@@ -131,7 +131,7 @@
                     cluster.routers[router].kill();
                 }
             }
-            Action::CloseFront(router) => cluster.send_to_clients(router, "closed"),
+            Action::StopNewConnections(router) => cluster.send_to_clients(router, "closed"),
             // A router that was sent SIGTERM is killed by `KillTerminated` only, after its shutdown period.
             Action::KillRouter(router) if cluster.routers[router].is_terminated() => {}
             Action::KillRouter(router) => {
@@ -148,7 +148,7 @@
             Action::CompleteConfig(router) => cluster.complete_config(router),
             Action::PauseRouter(router) => cluster.pause_router(router, DELAY_MS),
             Action::FailCalls(router) => inject_call_errors(cluster, router),
-            Action::HoldUpCalls(router) => {
+            Action::DelayCalls(router) => {
                 cluster.set_router_delayed(router, true);
                 let control = &cluster.routers[router].control;
                 control.set_delay_ms(DELAY_MS);
@@ -176,12 +176,12 @@
                 cluster.signal_node(node, Signal::CONT);
                 cluster.set_node_delayed(node, false);
             }
-            Action::SetPath(node, forwarding) => {
+            Action::SetForwarding(node, forwarding) => {
                 cluster.set_node_delayed(node, forwarding != Forwarding::Open);
                 cluster.nodes[node].proxy.set_forwarding(forwarding);
             }
-            Action::ResetPath(node) => cluster.nodes[node].proxy.reset_all(),
-            Action::SetMood(mode) => cluster.set_discovery_mode(mode),
+            Action::ResetProxyConnections(node) => cluster.nodes[node].proxy.reset_all(),
+            Action::SetDiscoveryMode(mode) => cluster.set_discovery_mode(mode),
             Action::ResetWatches => cluster.discovery.reset_watches(),
         }
     }
@@ -217,7 +217,7 @@
                 }
                 self.schedule_after(SIGNAL_SPACING_MS, Action::Reload(router));
                 self.schedule_after(SIGNAL_SPACING_MS, Action::PrintCounters(router));
-                self.schedule_after(CLIENT_CLOSE_DELAY_MS, Action::CloseFront(router));
+                self.schedule_after(CONNECT_PERIOD_AFTER_SIGTERM_MS, Action::StopNewConnections(router));
                 self.schedule_after(kill_delay_ms(), Action::KillTerminated(router, generation));
                 self.schedule_after(kill_delay_ms() + 50, Action::StartRouter(router));
             }
@@ -247,8 +247,8 @@
             mode => {
                 let mode =
                     [DiscoveryMode::Down, DiscoveryMode::Silent, DiscoveryMode::Slow][mode as usize - 1];
-                self.schedule_after(0, Action::SetMood(mode));
-                self.schedule_after(2 * duration, Action::SetMood(DiscoveryMode::Well));
+                self.schedule_after(0, Action::SetDiscoveryMode(mode));
+                self.schedule_after(2 * duration, Action::SetDiscoveryMode(DiscoveryMode::Normal));
             }
         }
     }
@@ -257,7 +257,7 @@
         let router = self.rng.usize(..cluster.routers.len());
         match self.rng.u32(0..4) {
             0 | 1 => self.schedule_after(0, Action::FailCalls(router)),
-            2 => self.schedule_after(0, Action::HoldUpCalls(router)),
+            2 => self.schedule_after(0, Action::DelayCalls(router)),
             _ => {
                 let shift = *self.rng.choice(&[3_600_000, -3_600_000, 5_000, -5_000]).unwrap_or(&0);
                 self.schedule_after(0, Action::StepClock(router, shift));
@@ -290,10 +290,10 @@
             }
             4 => {
                 let forwarding = if self.rng.bool() { Forwarding::Silent } else { Forwarding::Late };
-                self.schedule_after(0, Action::SetPath(node, forwarding));
-                self.schedule_after(duration, Action::SetPath(node, Forwarding::Open));
+                self.schedule_after(0, Action::SetForwarding(node, forwarding));
+                self.schedule_after(duration, Action::SetForwarding(node, Forwarding::Open));
             }
-            5 => self.schedule_after(0, Action::ResetPath(node)),
+            5 => self.schedule_after(0, Action::ResetProxyConnections(node)),
             _ => {
                 let behaviour = BEHAVIOURS[self.rng.usize(1..BEHAVIOURS.len())];
                 self.schedule_after(0, Action::SetBehaviour(node, behaviour));
@@ -320,7 +320,7 @@
     }
 }
 
-/// Makes system calls of a router fail with transient errors.
+/// Makes system calls of a router fail with transient errors or transfer fewer bytes than requested.
 fn inject_call_errors(cluster: &Cluster, router: usize) {
     let control = &cluster.routers[router].control;
     let transfers =
