--- a/crates/cli/tests/loopback/rig/data_node.rs
+++ b/crates/cli/tests/loopback/rig/data_node.rs
@@ -93,11 +93,12 @@
 impl NodeConnection {
     /// Reads the next frame and returns its kind and its payload.
     pub fn read_frame(&mut self) -> (char, String) {
-        let mut head = [0; 5];
-        self.0.read_exact(&mut head).expect("the head of a frame");
-        let mut payload = vec![0; u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize - 1];
+        let mut header = [0; 5];
+        self.0.read_exact(&mut header).expect("the header of a frame");
+        let mut payload =
+            vec![0; u32::from_be_bytes([header[0], header[1], header[2], header[3]]) as usize - 1];
         self.0.read_exact(&mut payload).expect("a complete frame");
-        (head[4] as char, String::from_utf8(payload).expect("a payload in UTF-8"))
+        (header[4] as char, String::from_utf8(payload).expect("a payload in UTF-8"))
     }
 
     /// Sends bytes to the router.
--- a/crates/cli/tests/loopback/rig/mod.rs
+++ b/crates/cli/tests/loopback/rig/mod.rs
@@ -1,5 +1,5 @@
 //! A test rig that runs the router as a process. The test controls the clients, data nodes and discovery at the other
-//! ends of its connections: what they send, and when they accept, delay or close.
+//! ends of its connections: the bytes that they send, and when they accept, delay or close.
 
 mod client;
 mod config_file;
--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -16,7 +16,7 @@
 /// Whether the library can inject faults on this platform; true only for Linux on x86-64.
 pub const IS_SUPPORTED: bool = cfg!(all(target_os = "linux", target_arch = "x86_64"));
 
-/// The largest number of different faults that one group of calls can be given.
+/// The largest number of different faults for one group of calls; further ones are ignored.
 const MAX_FAULTS: usize = 8;
 /// The code of [`Fault::Short`] in the control file, where other codes are error numbers.
 const SHORT_CODE: u32 = u32::MAX;
@@ -60,7 +60,8 @@
 pub enum Fault {
     /// The call fails with this `errno` value and has no effect.
     Error(i32),
-    /// The call transfers at most one byte.
+    /// The call transfers at most one byte. Calls that transfer no bytes, `recvmsg` and `sendmsg` are executed
+    /// unchanged.
     Short,
     /// The call is delayed by the time set with [`Control::set_delay_ms`] and then executed.
     Delay,
--- a/crates/fault-shim/src/wall_clock.rs
+++ b/crates/fault-shim/src/wall_clock.rs
@@ -10,7 +10,7 @@
 
 static CONTROL: AtomicPtr<Control> = AtomicPtr::new(std::ptr::null_mut());
 
-/// Has [`clock_gettime`] shift the wall clock by the time that `control` sets; until then the clock is not shifted.
+/// Makes [`clock_gettime`] shift the wall clock by the time that `control` sets; until then the clock is not shifted.
 pub fn install(control: &'static Control) {
     CONTROL.store(std::ptr::from_ref(control).cast_mut(), Ordering::SeqCst);
 }
--- a/crates/settings-schema/src/start_times.rs
+++ b/crates/settings-schema/src/start_times.rs
@@ -1,6 +1,7 @@
 //! Converts the start times of nodes to the clock of this process. Discovery reports start times by its own wall
 //! clock, and the wall clock of this machine may be wrong. The two are reconciled by two facts: no start time lies in
-//! the future, and a start time that discovery reports for the first time is later than the previous endpoint list.
+//! the future, and a start that discovery reports for the first time was after the previous endpoint list or, since
+//! discovery may report it late, at most [`MAX_DISCOVERY_DELAY`] before that list.
 
 #[cfg(test)]
 mod tests;
