--- a/crates/query-router/src/router/clients/idle.rs
+++ b/crates/query-router/src/router/clients/idle.rs
@@ -29,8 +29,8 @@
     }
 }
 
-/// Closes the writing side of a connection without a request. A request that is in transit at that time meets no reset,
-/// so that its client retries it.
+/// Closes the writing side of a connection without a request. A request that is in transit at that time does not cause
+/// a reset, so that its client retries it.
 pub fn half_close(context: &mut Context, id: ConnectionId) {
     if !context.may_close_client(id) {
         return;
--- a/crates/query-router/src/router/connection/arrival_times.rs
+++ b/crates/query-router/src/router/connection/arrival_times.rs
@@ -69,7 +69,7 @@
     }
 
     #[test]
-    fn many_arrivals_are_bounded_and_get_no_later_time() {
+    fn arrivals_are_limited_in_number_and_no_byte_gets_a_later_time() {
         let mut times = ArrivalTimes::default();
         for piece in 1..=1000 {
             times.record(piece, piece as usize);
--- a/crates/query-router/src/router/connection/discovery.rs
+++ b/crates/query-router/src/router/connection/discovery.rs
@@ -153,8 +153,8 @@
             let Some(head) = http::parse_response_head(bytes)? else {
                 return Ok(ResponseRead { consumed: 0, progress: BodyProgress::Incomplete });
             };
-            // Discovery is unavailable or overloaded. The body is discarded, and the request fails as it has no
-            // framing.
+            // Discovery is unavailable or overloaded. The body is discarded, and the request fails because `framing`
+            // remains `None`.
             if head.status != 200 {
                 return Ok(ResponseRead { consumed: bytes.len(), progress: BodyProgress::Complete });
             }
@@ -249,9 +249,9 @@
         }
     }
 
-    /// Returns the endpoint list of a poll; `None` if the response is incomplete or the request is a watch. A body
-    /// without a length is complete only after an orderly close, and not after a reset, so that no truncated list is
-    /// used.
+    /// Returns the endpoint list of a poll; `None` if the response is incomplete or unsuccessful, or the request is a
+    /// watch. A body without a length is complete only after an orderly close, and not after a reset, so that no
+    /// truncated list is used.
     pub fn polled_list(&self) -> Option<Result<EndpointList, DiscoveryError>> {
         let complete = self.kind == RequestKind::Poll
             && self.progress == BodyProgress::Complete
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -38,9 +38,11 @@
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseCause {
-    /// The node closed the connection, or the connection failed.
+    /// The node closed the connection, or the connection failed. Includes connections that the router aborts because
+    /// the node was restarted, did not answer a health check in time, or could not parse a frame.
     Remote,
-    /// The router closes the connection.
+    /// The router closes the connection because it received malformed bytes while no attempt was in flight, or because
+    /// it cancelled an attempt whose frame is not known to be written in full.
     Local,
     /// The router closes the connection because the response to this attempt is malformed.
     MalformedResponse(AttemptId),
@@ -60,7 +62,7 @@
 /// A frame that was received in part.
 #[derive(Clone, Copy, Debug)]
 pub struct PartialFrame {
-    /// The arrival time of the start.
+    /// The arrival time of the start of the frame.
     pub since: Micros,
     /// The attempt in flight whose shard request the frame names, if any.
     pub attempt: Option<AttemptId>,
@@ -75,7 +77,7 @@
     pub address: SocketAddr,
     /// Whether the connection is established, and since when.
     establishment: Establishment,
-    /// Whether a local shortage delayed the connection attempt; remains true once the connection is established.
+    /// Whether a local shortage delayed the opening of the connection; remains true once the connection is established.
     local_shortage: bool,
     /// The time since which the connection counts as idle. Meaningful only while it is idle.
     idle_from: Micros,
@@ -91,14 +93,15 @@
     /// The id of the shard request to which the last response on the connection belongs.
     last_answered: Option<Rc<str>>,
     /// Whether further batches may be sent. False after a response to a shard request that was not in flight or
-    /// cancelled, when a response is overdue and no frame has arrived since its attempt was requested, and when the
-    /// connection is being closed.
+    /// cancelled, after the cancellation of an attempt whose response is overdue if no frame has arrived since the
+    /// attempt was requested, and when the connection is aborted because of a partly written frame or because the node
+    /// could not parse one.
     reusable: bool,
     /// The arrival time of the last complete frame; 0 if there was none.
     last_frame_at: Micros,
     /// The frame that was received in part, if there is one.
     partial_frame: Option<PartialFrame>,
-    /// Why the connection ends. [`CloseCause::Remote`] unless the router closes it.
+    /// Why the connection ends; [`CloseCause::Remote`] until another cause is set.
     close_cause: CloseCause,
     /// The deadlines of the health checks without a response, oldest first.
     health_check_deadlines: VecDeque<Micros>,
@@ -132,12 +135,12 @@
         self.establishment
     }
 
-    /// Records that a local shortage, and not the node, delays the connection attempt.
+    /// Records that a local shortage, and not the node, delays the opening of the connection.
     pub fn set_local_shortage(&mut self) {
         self.local_shortage = true;
     }
 
-    /// Returns whether a local shortage has delayed the connection attempt and it is not established.
+    /// Returns whether a local shortage has delayed the opening of the connection and it is not established.
     pub fn has_local_shortage(&self) -> bool {
         self.local_shortage && !self.is_established()
     }
--- a/crates/query-router/src/router/context.rs
+++ b/crates/query-router/src/router/context.rs
@@ -26,7 +26,8 @@
     pub max_connections: usize,
     /// The most shard requests queued or in flight on one node connection.
     pub max_requests_per_connection: usize,
-    /// The time within which a connection must be established, and a frame received in full.
+    /// The time within which a connection to a node must be established, a frame received in full, and a health check
+    /// answered. A response that takes longer is overdue when its attempt is cancelled.
     pub connect_timeout: Micros,
     /// The time after which an idle node connection is closed.
     pub idle_timeout: Micros,
@@ -96,8 +97,9 @@
         }
     }
 
-    /// Adds a connection. At the limit on connections, the one that has been idle for longest is closed first. Returns
-    /// `None` if the limit is reached and no connection can be closed.
+    /// Adds a connection. At the limit on connections, the one that has been idle for longest is closed first. Client
+    /// connections in [`ClientState::ClosingIfIdle`] do not count. Returns `None` if the limit is reached and either no
+    /// connection is idle or [`MAX_CLOSING`] client connections are in that state.
     pub fn open(&mut self, connection: Connection) -> Option<ConnectionId> {
         let max_connections = self.limits.max_connections;
         if self.connections.len() >= max_connections {
--- a/crates/query-router/src/router/discovery/backoff.rs
+++ b/crates/query-router/src/router/discovery/backoff.rs
@@ -10,7 +10,8 @@
 /// The range of the random delay after a watch without any message. It spreads the watches of many routers.
 const DELAY_AFTER_SILENCE: RangeInclusive<Micros> = 600_000..=900_000;
 
-/// Schedules the next watch after one that failed, where endpoint lists are pushed.
+/// Schedules the next watch after a failure: after any failed request where endpoint lists are pushed, otherwise only
+/// after a watch without any message.
 pub struct WatchBackoff {
     /// The time of the next watch; `None` if none is scheduled.
     retry_at: Option<Micros>,
--- a/crates/query-router/src/router/discovery/mod.rs
+++ b/crates/query-router/src/router/discovery/mod.rs
@@ -16,7 +16,7 @@
 use settings_schema::EndpointEntry;
 use std::net::SocketAddr;
 
-/// The time without a complete message after which a request times out.
+/// The time without a complete message after which a watch times out, and the time within which a poll must end.
 const SILENCE_TIMEOUT: Micros = 2 * HEARTBEAT_INTERVAL;
 
 /// The result of a request to discovery that has ended or timed out.
@@ -179,7 +179,7 @@
                 tracing::warn!(
                     revision,
                     newest,
-                    "endpoint update skipped: its revision is older than the newest one"
+                    "endpoint update skipped: its revision is lower than that of the newest update"
                 );
                 continue;
             }
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -76,7 +76,7 @@
     }
 
     /// Queues a batch on a connection. If none can be opened, the batch stays in `waiting`: the limit on connections is
-    /// no failure of the node.
+    /// no failure of the node. Attempts at a node without an address end as connect failed.
     fn assign(
         &mut self, context: &mut Context, queries: &mut QueryTable, batch: Batch,
     ) -> Option<ConnectionId> {
@@ -111,9 +111,10 @@
         }
     }
 
-    /// Cancels an attempt. If it was written in full, it ends with `outcome` and a cancellation is sent to the node. If
-    /// no byte was written, it is removed and ends as not sent. If its frame is partly written, the connection is
-    /// aborted, since a shard request must not arrive after its query has ended.
+    /// Cancels an attempt. If its frame was written in full, the attempt ends with `outcome` and a cancellation is sent
+    /// to the node. If the frame was not passed to the event loop, the attempt is removed and ends as not sent. In
+    /// between, the frame may be partly written, and the connection is aborted, since a shard request must not arrive
+    /// after its query has ended.
     pub fn cancel(
         &mut self, context: &mut Context, queries: &mut QueryTable, attempt: AttemptId,
         outcome: AttemptOutcome,
--- a/crates/query-router/src/router/endpoints.rs
+++ b/crates/query-router/src/router/endpoints.rs
@@ -63,8 +63,8 @@
     }
 
     /// Records the current time by the clock of discovery, to which reported start times refer.
-    pub fn set_discovery_time(&mut self, now: Micros, stated: Micros) {
-        self.start_times.time_stated(now, stated);
+    pub fn set_discovery_time(&mut self, now: Micros, discovery_time: Micros) {
+        self.start_times.time_stated(now, discovery_time);
     }
 
     /// Ends an update that was received from discovery, as opposed to the cached list.
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -9,7 +9,7 @@
 //! - `context`: the state that all components share
 //! - `query_table`: the queries in progress
 //! - `node_connections`: the connections to data nodes
-//! - `dispatch`, `clients` and `discovery`
+//! - `dispatch`, `clients` and `discovery`: the waiting batches, the client connections, and the requests to discovery
 //! - `state`: all components, and the actions that the balancer requests of them
 //! - `reports`: reports to the balancer
 
@@ -44,10 +44,10 @@
 pub struct Router {
     balancer: Balancer,
     state: State,
-    /// Whether the balancer has received reports since its last decision.
+    /// Whether the balancer has received a report or an expired timer since its last decision; initially true.
     decision_needed: bool,
     last_decision_at: Micros,
-    /// The time of the last [`Effect::WakeAt`].
+    /// The time of the last [`Effect::WakeAt`]; `None` if no timer is set.
     wake_at: Option<Micros>,
 }
 
@@ -130,7 +130,8 @@
         }
     }
 
-    /// Returns whether a graceful shutdown is complete: no client is connected or waits to be accepted.
+    /// Returns whether a graceful shutdown is complete: it has reached the phase in which idle connections are closed,
+    /// and no client is connected or waits to be accepted.
     pub fn may_exit(&self) -> bool {
         let context = &self.state.context;
         context.shutdown.closes_idle_connections()
@@ -138,7 +139,8 @@
             && !self.state.clients.has_pending_accepts()
     }
 
-    /// Requests [`Event::TimerExpired`] for the earliest timer, or for the next decision if that comes first.
+    /// Requests [`Event::TimerExpired`] for the earliest timer, or for the next decision if one is needed and comes
+    /// first.
     fn update_wake_time(&mut self) {
         let State { context, queries, discovery, .. } = &mut self.state;
         let decision_needed =
--- a/crates/query-router/src/router/node_connections/lifecycle.rs
+++ b/crates/query-router/src/router/node_connections/lifecycle.rs
@@ -88,9 +88,8 @@
     let cause = connection.close_cause();
     let queued: Vec<AttemptId> = connection.queue().attempts().collect();
     let in_flight = connection.take_in_flight();
-    // A connection that was established, or that failed because of a local shortage, does not prove that the node is
-    // unreachable.
     context.counters.node_connections_failed += u64::from(!was_established);
+    // The node counts as unreachable only if the connection was never established and no local shortage delayed it.
     let (not_written, check_outcome) = match (was_established, is_local_failure) {
         (true, _) => (AttemptOutcome::NotSent, AttemptOutcome::ConnectionLost),
         (false, true) => (AttemptOutcome::NotSent, AttemptOutcome::NotSent),
--- a/crates/query-router/src/router/node_connections/mod.rs
+++ b/crates/query-router/src/router/node_connections/mod.rs
@@ -19,8 +19,8 @@
 use balancer::{AttemptOutcome, NodeId};
 use lifecycle::{close_malformed, finish_health_check};
 
-/// Records that a local shortage delays the connection attempt. If the attempt fails in the end, the node does not
-/// count as unreachable.
+/// Records that a local shortage delays the opening of a connection. If the connection is never established, the node
+/// does not count as unreachable.
 pub fn connect_delayed(context: &mut Context, id: ConnectionId) {
     if context.connections.kind(id) == Some(ConnectionKind::Node) {
         context.counters.node_connections_delayed += 1;
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -62,14 +62,15 @@
 }
 
 fn receive<'a>(
-    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, kind: FrameKind, content: &'a [u8],
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, kind: FrameKind, payload: &'a [u8],
 ) -> FrameOutcome<'a> {
     match kind {
-        FrameKind::Response => receive_response(context, queries, id, content),
-        FrameKind::Health | FrameKind::Load => receive_health(context, id, content),
+        FrameKind::Response => receive_response(context, queries, id, payload),
+        FrameKind::Health | FrameKind::Load => receive_health(context, id, payload),
         FrameKind::NotUnderstood => {
-            // The node closes the connection after this frame, so queued batches must be sent on others.
-            record_malformed_frame(context, id, &String::from_utf8_lossy(content));
+            // The node closes the connection after this frame, so queued attempts end as not sent and can be retried on
+            // another connection.
+            record_malformed_frame(context, id, &String::from_utf8_lossy(payload));
             context.connections.node_mut(id).forbid_reuse();
             context.effects.push(Effect::Abort(id));
             FrameOutcome::Handled
@@ -80,9 +81,9 @@
 
 /// Handles a response to a shard request.
 fn receive_response<'a>(
-    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, content: &'a [u8],
+    context: &mut Context, queries: &mut QueryTable, id: ConnectionId, payload: &'a [u8],
 ) -> FrameOutcome<'a> {
-    let Ok(response) = ShardResponse::parse(content) else { return FrameOutcome::Malformed };
+    let Ok(response) = ShardResponse::parse(payload) else { return FrameOutcome::Malformed };
     let ShardResponse { id: request_id, outcome, load_report: load, value } = response;
     let Some(attempt) = context.connections.node_mut(id).take_answered(request_id) else {
         return receive_late_response(context, id, request_id);
@@ -108,8 +109,8 @@
 }
 
 /// Handles the response to a health check: the node's load, `OK`, `ERROR` or `-`.
-fn receive_health<'a>(context: &mut Context, id: ConnectionId, content: &'a [u8]) -> FrameOutcome<'a> {
-    let Ok(text) = std::str::from_utf8(content) else { return FrameOutcome::Malformed };
+fn receive_health<'a>(context: &mut Context, id: ConnectionId, payload: &'a [u8]) -> FrameOutcome<'a> {
+    let Ok(text) = std::str::from_utf8(payload) else { return FrameOutcome::Malformed };
     let outcome = if text == "ERROR" { AttemptOutcome::ServerError } else { AttemptOutcome::Succeeded };
     let load = if matches!(text, "OK" | "ERROR" | "-") { "" } else { text };
     match finish_health_check(context, id, outcome, parse_load(load).unwrap_or_default()) {
--- a/crates/query-router/src/router/node_connections/selection.rs
+++ b/crates/query-router/src/router/node_connections/selection.rs
@@ -34,9 +34,9 @@
 /// second choice is a new connection, the third an existing one with capacity. A health check, for which there are no
 /// ids, uses an existing connection if there is one.
 ///
-/// Batches share a connection only if the node's share of all connections is used up, so that few batches are lost with
-/// one connection. Responses carry no attempt number, so no shard request is sent on a connection on which a response
-/// to an earlier attempt at it may still arrive.
+/// Batches share a connection only if the node's share of all connections is used up or none can be opened, so that few
+/// batches are lost with one connection. Responses carry no attempt number, so no shard request is sent on a connection
+/// on which a response to an earlier attempt at it may still arrive.
 pub fn select_connection(
     context: &mut Context, queries: &QueryTable, node: NodeId, ids: &[Rc<str>],
 ) -> Option<ConnectionId> {
--- a/crates/query-router/src/router/query_table.rs
+++ b/crates/query-router/src/router/query_table.rs
@@ -41,7 +41,7 @@
 pub struct ShardRequest {
     /// The id on the wire.
     pub id: Rc<str>,
-    /// The query that it belongs to.
+    /// The query to which the shard request belongs.
     pub query: QueryId,
     /// The index of the shard.
     pub shard: usize,
@@ -225,7 +225,7 @@
         self.shard_requests[request.0].value.get_or_insert_with(|| value.to_string());
     }
 
-    /// Sets the outcome of an attempt. Returns `None` if the attempt has ended before.
+    /// Sets the outcome of an attempt. Returns `None` if the attempt has ended before or its query has been released.
     pub fn finish_attempt(
         &mut self, context: &mut Context, attempt: AttemptId, outcome: AttemptOutcome,
     ) -> Option<FinishedAttempt> {
--- a/crates/query-router/src/router/shutdown.rs
+++ b/crates/query-router/src/router/shutdown.rs
@@ -62,7 +62,7 @@
         self.phase == Phase::ClosingIdle
     }
 
-    /// Returns the time by which every request must have its response; `None` without a shutdown.
+    /// Returns the time by which every request must have its response; `None` before a shutdown starts.
     pub fn response_deadline(&self) -> Option<Micros> {
         self.response_deadline
     }
--- a/crates/query-router/src/router/tests/clients.rs
+++ b/crates/query-router/src/router/tests/clients.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn invalid_requests_are_answered_without_a_decision() {
+fn requests_without_a_valid_query_are_answered_without_a_decision() {
     let mut rig = Rig::new();
     let decisions = rig.router.counters().decisions;
     for (request, status) in [
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -383,11 +383,11 @@
     assert!(rig.written(client).starts_with("HTTP/1.1 200"));
 }
 
-/// The maximum time until discovery is requested again: the time within which the router must learn of a change once
+/// The maximum time until the next request to discovery: the time within which the router must receive a change once
 /// discovery is reachable, less the time that the request may take.
 const MAX_REQUEST_GAP: Micros = 5_000_000;
 
-/// Advances the clock until discovery is requested again, and returns the time that this takes.
+/// Advances the clock until the next request to discovery, and returns the time that this takes.
 fn time_to_next_request(rig: &mut Rig<RecordingPeers>) -> Micros {
     const STEP: Micros = 50_000;
     let (requests, started) = (rig.router.counters().discovery_requests, rig.now);
@@ -418,7 +418,7 @@
 }
 
 #[test]
-fn discovery_that_hangs_is_requested_again_in_time_to_learn_of_a_drain() {
+fn a_request_to_discovery_that_hangs_is_repeated_in_time_to_receive_a_drain() {
     for mut rig in routers_after_failed_requests() {
         let request = rig.peers.outgoing.last().expect("an open request to discovery").id;
         rig.step(Event::Established(request));
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn discovery_that_fails_is_requested_again_in_time_to_learn_of_a_drain() {
+fn a_request_to_discovery_that_fails_is_repeated_in_time_to_receive_a_drain() {
     for mut rig in routers_after_failed_requests() {
         let request = rig.peers.outgoing.last().expect("an open request to discovery").id;
         rig.end_connection(request, 0);
--- a/crates/query-router/src/router/tests/event_sequences.rs
+++ b/crates/query-router/src/router/tests/event_sequences.rs
@@ -40,7 +40,8 @@
 struct RandomPeers {
     rng: fastrand::Rng,
     remote_ends: BTreeMap<ConnectionId, RemoteEnd>,
-    queries: u64,
+    /// The number of client requests generated so far, which makes the ids of their queries unique.
+    generated_requests: u64,
     revision: u64,
     /// The number of times that each non-idempotent shard request was sent in full, by id.
     sent_in_full: BTreeMap<String, usize>,
@@ -93,16 +94,16 @@
     }
 }
 
-/// Returns the ids of the shard requests in the content of a batch frame.
-fn batch_ids(mut content: &[u8]) -> Vec<String> {
+/// Returns the ids of the shard requests in the payload of a batch frame.
+fn batch_ids(mut payload: &[u8]) -> Vec<String> {
     let mut ids = Vec::new();
-    while !content.is_empty() {
-        let line_length = content.iter().position(|&byte| byte == b'\n').expect("a complete line");
-        let line = std::str::from_utf8(&content[..line_length]).expect("a line in UTF-8");
+    while !payload.is_empty() {
+        let line_length = payload.iter().position(|&byte| byte == b'\n').expect("a complete line");
+        let line = std::str::from_utf8(&payload[..line_length]).expect("a line in UTF-8");
         let mut words = line.split(' ');
         ids.push(words.next().expect("the id of a shard request").to_string());
         let text_length: usize = words.nth(2).expect("the length of the text").parse().expect("a number");
-        content = &content[line_length + 1 + text_length..];
+        payload = &payload[line_length + 1 + text_length..];
     }
     ids
 }
@@ -133,13 +134,13 @@
         while let Some(head) = end.sent[..end.accepted_bytes].get(end.parsed_bytes..end.parsed_bytes + 5) {
             let length = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
             let kind = head[4];
-            let Some(content) =
+            let Some(payload) =
                 end.sent[..end.accepted_bytes].get(end.parsed_bytes + 5..end.parsed_bytes + 4 + length)
             else {
                 return;
             };
             if kind == b'R' {
-                for request_id in batch_ids(content) {
+                for request_id in batch_ids(payload) {
                     assert_in_progress(router, &request_id);
                     if request_id.starts_with("pay") {
                         *self.sent_in_full.entry(request_id.clone()).or_default() += 1;
@@ -170,9 +171,9 @@
 
     /// Returns a random request of a client: a valid or invalid query, or a readiness check.
     fn random_request(&mut self) -> Vec<u8> {
-        self.queries += 1;
+        self.generated_requests += 1;
         let class = if self.rng.bool() { "pay" } else { "look" };
-        let id = format!("{class}{}", self.queries);
+        let id = format!("{class}{}", self.generated_requests);
         let shards: Vec<usize> = (0..4).filter(|_| self.rng.bool()).collect();
         let boost = 1.0 / shards.len().max(1) as f64;
         let segments: Vec<String> =
@@ -208,7 +209,10 @@
         config["settings"]["obligations"]["drainGraceNs"] = 500_000_000.into();
         let config = Config::parse(&config.to_string()).expect("a valid configuration");
         let (remote_ends, sent_in_full) = (BTreeMap::new(), BTreeMap::new());
-        Rig::with_peers(&config, RandomPeers { rng, remote_ends, queries: 0, revision: 41, sent_in_full })
+        Rig::with_peers(
+            &config,
+            RandomPeers { rng, remote_ends, generated_requests: 0, revision: 41, sent_in_full },
+        )
     }
 
     /// Ends a connection and reports the number of accepted bytes to the router.
--- a/crates/query-router/src/router/tests/node_connections.rs
+++ b/crates/query-router/src/router/tests/node_connections.rs
@@ -55,7 +55,8 @@
     assert!(!rig.peers.closed.contains(&connection));
     rig.decide_and_advance(2_000);
     assert!(rig.peers.closed.contains(&connection) && rig.router.counters().attempts_malformed_response == 1);
-    // A connection that has received nothing since its attempt was overtaken by another and cancelled is not reused.
+    // An attempt is cancelled after another attempt has returned the value. Its connection is not reused, since no
+    // frame has arrived on it since the attempt was requested.
     let node = if port == 71 { 0 } else { 1 };
     rig.send_query("look", "t2");
     let request = rig
--- a/crates/query-router/src/router/tests/rig.rs
+++ b/crates/query-router/src/router/tests/rig.rs
@@ -313,6 +313,6 @@
 }
 
 /// Encodes a frame of the node protocol.
-pub fn frame(kind: u8, content: &str) -> Vec<u8> {
-    [&crate::protocol::frames::head(kind, content.len())[..], content.as_bytes()].concat()
+pub fn frame(kind: u8, payload: &str) -> Vec<u8> {
+    [&crate::protocol::frames::head(kind, payload.len())[..], payload.as_bytes()].concat()
 }
--- a/crates/query-router/src/router/tests/shutdown.rs
+++ b/crates/query-router/src/router/tests/shutdown.rs
@@ -78,7 +78,8 @@
 
 #[test]
 fn a_pipelined_request_is_answered_if_shutdown_begins_during_the_previous_response() {
-    // The first response promises to keep the connection open, and is partly written when the shutdown begins.
+    // The head of the first response announces that the connection stays open. The response is partly written when the
+    // shutdown begins.
     let mut rig = Rig::new();
     let client = rig.connect_client();
     rig.peers.writes_stall = true;
