--- a/crates/query-router/src/event_loop/reload.rs
+++ b/crates/query-router/src/event_loop/reload.rs
@@ -54,6 +54,6 @@
         if !fields.is_empty() {
             tracing::warn!(fields = fields.join(", "), "changed configuration fields require a restart");
         }
-        self.report_event(Event::DiscoveryMoved(newer.discovery));
+        self.report_event(Event::DiscoveryAddressReloaded(newer.discovery));
     }
 }
--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -44,7 +44,7 @@
     /// The time set by the last [`Effect::WakeAt`] is reached.
     TimerExpired,
     /// The configuration was reloaded; it states this discovery address, which may be unchanged.
-    DiscoveryMoved(SocketAddr),
+    DiscoveryAddressReloaded(SocketAddr),
     /// A signal requests a graceful shutdown.
     Terminate,
     /// A signal requests the counters.
--- a/crates/query-router/src/protocol/frames.rs
+++ b/crates/query-router/src/protocol/frames.rs
@@ -27,7 +27,7 @@
     /// `Y`, from a node: the response to one shard request.
     Response,
     /// `N`, from a node: the node could not parse a frame and is about to close the connection.
-    NotUnderstood,
+    ProtocolError,
 }
 
 impl FrameKind {
@@ -39,7 +39,7 @@
             FrameKind::Health => b'G',
             FrameKind::Load => b'T',
             FrameKind::Response => b'Y',
-            FrameKind::NotUnderstood => b'N',
+            FrameKind::ProtocolError => b'N',
         }
     }
 
@@ -49,7 +49,7 @@
             b'Y' => Ok(FrameKind::Response),
             b'G' => Ok(FrameKind::Health),
             b'T' => Ok(FrameKind::Load),
-            b'N' => Ok(FrameKind::NotUnderstood),
+            b'N' => Ok(FrameKind::ProtocolError),
             _ => Err(FrameError::UnknownKind(letter)),
         }
     }
--- a/crates/query-router/src/protocol/query_request.rs
+++ b/crates/query-router/src/protocol/query_request.rs
@@ -79,9 +79,9 @@
     InvalidText,
 }
 
-/// The configured names and number of shards against which queries are validated.
+/// Parses queries and validates them against the configured names and the number of shards.
 #[derive(Debug, Default)]
-pub struct QueryVocabulary {
+pub struct QueryParser {
     /// The names of the service classes, in the order of their indices.
     pub classes: Vec<String>,
     /// The names of the tenants, in the order of their indices. If empty, `X-Customer` is ignored.
@@ -90,7 +90,7 @@
     pub shards: usize,
 }
 
-impl QueryVocabulary {
+impl QueryParser {
     /// Parses and validates the query in a request.
     ///
     /// # Errors
--- a/crates/query-router/src/protocol/query_request/tests.rs
+++ b/crates/query-router/src/protocol/query_request/tests.rs
@@ -3,16 +3,9 @@
 use super::*;
 
 fn parse(expires_in_ms: &str, body: &str) -> Result<QueryRequest, QueryRequestError> {
-    let vocabulary =
-        QueryVocabulary { classes: vec!["look".into(), "pay".into()], tenants: Vec::new(), shards: 4 };
+    let parser = QueryParser { classes: vec!["look".into(), "pay".into()], tenants: Vec::new(), shards: 4 };
     let body = body.as_bytes().into();
-    vocabulary.parse(&Request {
-        trace_id: "t1",
-        service_class: "pay",
-        expires_in_ms,
-        body,
-        ..Default::default()
-    })
+    parser.parse(&Request { trace_id: "t1", service_class: "pay", expires_in_ms, body, ..Default::default() })
 }
 
 #[test]
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -7,7 +7,7 @@
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
 use crate::protocol::http::MAX_REQUEST_BYTES;
-use crate::protocol::query_request::{QueryVocabulary, RequestedShard};
+use crate::protocol::query_request::{QueryParser, RequestedShard};
 use crate::router::connection::Connection;
 use crate::router::connection::client::{ClientConnection, ClientState};
 use crate::router::context::Context;
@@ -46,7 +46,7 @@
     max_in_flight: Option<usize>,
     /// The idempotency of queries, by service class.
     idempotency: Vec<Idempotency>,
-    vocabulary: QueryVocabulary,
+    vocabulary: QueryParser,
 }
 
 impl Clients {
@@ -63,7 +63,7 @@
                 .map_or(usize::MAX, |bytes| bytes / UNCONSUMED_MEMORY_DIVISOR),
             max_in_flight: settings.limits.max_in_flight.filter(|&max| max > 0),
             idempotency: settings.named_classes().map(|class| class.idempotency).collect(),
-            vocabulary: QueryVocabulary {
+            vocabulary: QueryParser {
                 classes: settings.named_classes().map(|class| class.name.clone()).collect(),
                 tenants: settings.named_tenants().map(|tenant| tenant.name.clone()).collect(),
                 shards: settings.shards.count.unwrap_or(0),
--- a/crates/query-router/src/router/endpoints.rs
+++ b/crates/query-router/src/router/endpoints.rs
@@ -64,7 +64,7 @@
 
     /// Records the current time by the clock of discovery, to which reported start times refer.
     pub fn set_discovery_time(&mut self, now: Micros, stated: Micros) {
-        self.start_times.time_stated(now, stated);
+        self.start_times.discovery_time_received(now, stated);
     }
 
     /// Ends an update that was received from discovery, as opposed to the cached list.
--- a/crates/query-router/src/router/mod.rs
+++ b/crates/query-router/src/router/mod.rs
@@ -90,7 +90,7 @@
             Event::PeerClosed(id) => self.closed_by_peer(id),
             Event::Ended { connection: id, written_bytes } => self.ended(id, written_bytes),
             Event::TimerExpired => self.expire_timers(),
-            Event::DiscoveryMoved(address) => {
+            Event::DiscoveryAddressReloaded(address) => {
                 self.state.discovery.set_address(&mut self.state.context, address)
             }
             Event::Terminate => self.begin_shutdown(),
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -67,7 +67,7 @@
     match kind {
         FrameKind::Response => receive_response(context, queries, id, content),
         FrameKind::Health | FrameKind::Load => receive_health(context, id, content),
-        FrameKind::NotUnderstood => {
+        FrameKind::ProtocolError => {
             // The node closes the connection after this frame, so queued batches must be sent on others.
             record_malformed_frame(context, id, &String::from_utf8_lossy(content));
             context.connections.node_mut(id).forbid_reuse();
--- a/crates/query-router/src/router/tests/discovery.rs
+++ b/crates/query-router/src/router/tests/discovery.rs
@@ -351,10 +351,10 @@
     let old = rig.peers.outgoing[0].id;
     rig.poll_discovery();
     let poll = rig.peers.outgoing.last().expect("a connection for the poll").id;
-    rig.step(Event::DiscoveryMoved("127.0.0.1:9".parse().expect("a valid address")));
+    rig.step(Event::DiscoveryAddressReloaded("127.0.0.1:9".parse().expect("a valid address")));
     assert!(rig.peers.closed.is_empty(), "the connections stay open if the address is the same");
     for port in [10, 11] {
-        rig.step(Event::DiscoveryMoved(SocketAddr::from(([127, 0, 0, 1], port))));
+        rig.step(Event::DiscoveryAddressReloaded(SocketAddr::from(([127, 0, 0, 1], port))));
     }
     assert!(rig.peers.closed.contains(&old) && rig.peers.closed.contains(&poll));
     let requests: Vec<ConnectionId> = rig
--- a/crates/query-router/src/router/tests/event_sequences.rs
+++ b/crates/query-router/src/router/tests/event_sequences.rs
@@ -359,7 +359,7 @@
 
     fn move_discovery(&mut self) {
         let address = if self.peers.rng.bool() { "127.0.0.1:9" } else { "127.0.0.2:9" };
-        self.step(Event::DiscoveryMoved(address.parse().expect("a valid address")));
+        self.step(Event::DiscoveryAddressReloaded(address.parse().expect("a valid address")));
     }
 }
 
--- a/crates/settings-schema/src/start_times.rs
+++ b/crates/settings-schema/src/start_times.rs
@@ -51,7 +51,7 @@
 impl StartTimes {
     /// Updates the offset between the clocks from the time that discovery sent, in microseconds but with a resolution
     /// of one second.
-    pub fn time_stated(&mut self, now: Micros, stated: Micros) {
+    pub fn discovery_time_received(&mut self, now: Micros, stated: Micros) {
         let offset = now - stated - HALF_RESOLUTION;
         self.clock_offset = Some(if offset.abs() > CLOCK_TOLERANCE { offset } else { 0 });
     }
--- a/crates/settings-schema/src/start_times/tests.rs
+++ b/crates/settings-schema/src/start_times/tests.rs
@@ -66,7 +66,7 @@
     let reported = NOW - HOUR;
     let start = starts.convert(NOW, reported, None);
     // Discovery's clock is an hour behind the local clock, so the node has just started.
-    starts.time_stated(NOW, NOW - HOUR);
+    starts.discovery_time_received(NOW, NOW - HOUR);
     let corrected = starts.convert(NOW, reported, Some(start));
     assert!((NOW - SECOND..=NOW).contains(&corrected.started_at()), "{corrected:?}");
     assert_eq!(starts.convert(NOW + HOUR, reported, Some(corrected)), corrected);
@@ -80,7 +80,7 @@
 fn known_clock_offset_within_the_tolerance_changes_nothing() {
     let mut starts = StartTimes::default();
     let start = starts.convert(NOW, NOW - HOUR, None);
-    starts.time_stated(NOW, NOW - SECOND);
+    starts.discovery_time_received(NOW, NOW - SECOND);
     assert_eq!(starts.convert(NOW, NOW - HOUR, Some(start)), start);
     starts.list_received(NOW);
     assert_eq!(starts.convert(NOW, NOW - 2 * HOUR, None).started_at(), NOW - 2 * HOUR);
