--- a/crates/query-router/src/config.rs
+++ b/crates/query-router/src/config.rs
@@ -79,7 +79,8 @@
         Ok(config)
     }
 
-    /// Returns the fields that differ in `newer` and that are applied only at a restart.
+    /// Returns those of the fields `name`, `listen`, `limits` and `settings` that differ in `newer`: they are applied
+    /// only at a restart. `discovery` is applied at a reload; `seed` and `known` matter only at the start.
     pub fn fields_needing_restart(&self, newer: &Config) -> Vec<&'static str> {
         let limits = |config: &Config| (config.max_sockets, config.max_memory_bytes);
         let unchanged = [
@@ -122,7 +123,7 @@
     Ok(())
 }
 
-/// Returns the path of each setting that must be at least 1, and whether it is.
+/// Returns the path of each setting that must be at least 1, and whether it is. Times count in microseconds.
 fn required_settings(settings: &Settings) -> [(&'static str, bool); 7] {
     let Settings { shards, batch, limits, .. } = settings;
     let is_positive = |count: Option<usize>| count.is_some_and(|count| count >= 1);
--- a/crates/query-router/src/config/error.rs
+++ b/crates/query-router/src/config/error.rs
@@ -84,8 +84,8 @@
     /// No service class is configured, so no query could be served.
     #[error("settings.services: no service class has a name")]
     NoServiceClass,
-    /// The deadline of a service class is missing or not positive.
-    #[error("settings.services: {class}: deadlineNs is missing or not positive")]
+    /// The deadline of a service class is missing or shorter than a microsecond.
+    #[error("settings.services: {class}: deadlineNs is missing or less than 1000")]
     InvalidDeadline {
         /// The name of the service class.
         class: String,
@@ -102,8 +102,8 @@
         /// The name of the service class.
         class: String,
     },
-    /// A required setting is absent or below 1.
-    #[error("settings.{field}: expected a number of at least 1")]
+    /// A required setting is absent or below its minimum: 1, or 1000 ns (a microsecond) for a time.
+    #[error("settings.{field}: expected at least 1, or 1000 for a time in ns")]
     SettingTooSmall {
         /// The path of the setting below `settings`.
         field: &'static str,
--- a/crates/query-router/src/config/tests.rs
+++ b/crates/query-router/src/config/tests.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn error_names_each_required_setting_that_is_absent_or_below_one() {
+fn error_names_each_required_setting_that_is_absent_or_below_its_minimum() {
     for field in [
         "familyInfo.sets",
         "familyInfo.shards",
@@ -100,7 +100,7 @@
             let path = format!("/settings/{}", field.replace('.', "/"));
             *invalid.pointer_mut(&path).expect("a field") = value;
             let error = Config::parse(&invalid.to_string()).expect_err(field).to_string();
-            assert_eq!(error, format!("settings.{field}: expected a number of at least 1"));
+            assert_eq!(error, format!("settings.{field}: expected at least 1, or 1000 for a time in ns"));
         }
     }
 }
@@ -112,7 +112,7 @@
         (
             "/settings/services/0/deadlineNs",
             999.into(),
-            "settings.services: look: deadlineNs is missing or not positive",
+            "settings.services: look: deadlineNs is missing or less than 1000",
         ),
         (
             "/settings/services/0/idempotency",
--- a/crates/query-router/src/protocol/http/error.rs
+++ b/crates/query-router/src/protocol/http/error.rs
@@ -1,31 +1,33 @@
 //! Errors of HTTP messages.
 
-/// An HTTP message is malformed, unsupported or too large. The error text is the body of the response to the client.
+/// An HTTP message is malformed, unsupported or too large. For a request, the error text is the body of the response to
+/// the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
     /// The start line or a header field is malformed.
-    #[error("the head is malformed")]
+    #[error("the start line or a header field is malformed")]
     MalformedHead,
     /// The head exceeds [`MAX_HEAD_BYTES`](super::limits::MAX_HEAD_BYTES) or has too many fields.
-    #[error("the head is too large")]
+    #[error("the head exceeds 16 KiB or 64 header fields")]
     HeadTooLarge,
-    /// `Content-Length` is not a non-negative integer.
-    #[error("Content-Length is not a whole number")]
+    /// `Content-Length` is not a decimal number without a sign.
+    #[error("Content-Length must be a decimal number without a sign")]
     InvalidContentLength,
     /// `Transfer-Encoding` is not `chunked`.
-    #[error("only the transfer encoding 'chunked' is known")]
+    #[error("unsupported Transfer-Encoding; expected 'chunked'")]
     UnsupportedTransferEncoding,
     /// More than one field states the framing of the body.
-    #[error("the body's length is stated twice")]
+    #[error("more than one Content-Length or Transfer-Encoding header")]
     ConflictingBodyLength,
-    /// The size line or the end of a chunk, or the trailer, is malformed.
-    #[error("the body's chunks are malformed")]
+    /// The size line or the end of a chunk, or the trailer, is malformed or too long.
+    #[error("the chunked encoding of the body is malformed")]
     MalformedChunks,
     /// A chunk size exceeds the limit of the decoder.
-    #[error("a chunk is too long")]
+    #[error("a chunk of the body is too large")]
     ChunkTooLong,
-    /// The body exceeds [`MAX_BODY_BYTES`](super::limits::MAX_BODY_BYTES).
-    #[error("the body is over 64 KiB")]
+    /// The body of a request exceeds [`MAX_BODY_BYTES`](super::limits::MAX_BODY_BYTES), or a request with a chunked
+    /// body is not complete within [`MAX_REQUEST_BYTES`](super::limits::MAX_REQUEST_BYTES).
+    #[error("the body exceeds 64 KiB, or the encoded request 144 KiB")]
     BodyTooLarge,
 }
 
--- a/crates/query-router/src/protocol/http/response.rs
+++ b/crates/query-router/src/protocol/http/response.rs
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// Returns an [`HttpError`] if the head is malformed or too large.
+/// Returns an [`HttpError`] if the head is malformed or too large, or states an unsupported framing.
 pub fn parse_response_head(bytes: &[u8]) -> Result<Option<ResponseHead>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
--- a/crates/query-router/src/protocol/http/tests.rs
+++ b/crates/query-router/src/protocol/http/tests.rs
@@ -89,14 +89,14 @@
 #[test]
 fn error_texts_are_the_bodies_sent_to_clients() {
     for (error, status, text) in [
-        (HttpError::MalformedHead, 400, "the head is malformed"),
-        (HttpError::HeadTooLarge, 431, "the head is too large"),
-        (HttpError::InvalidContentLength, 400, "Content-Length is not a whole number"),
-        (HttpError::UnsupportedTransferEncoding, 501, "only the transfer encoding 'chunked' is known"),
-        (HttpError::ConflictingBodyLength, 400, "the body's length is stated twice"),
-        (HttpError::MalformedChunks, 400, "the body's chunks are malformed"),
-        (HttpError::ChunkTooLong, 413, "a chunk is too long"),
-        (HttpError::BodyTooLarge, 413, "the body is over 64 KiB"),
+        (HttpError::MalformedHead, 400, "the start line or a header field is malformed"),
+        (HttpError::HeadTooLarge, 431, "the head exceeds 16 KiB or 64 header fields"),
+        (HttpError::InvalidContentLength, 400, "Content-Length must be a decimal number without a sign"),
+        (HttpError::UnsupportedTransferEncoding, 501, "unsupported Transfer-Encoding; expected 'chunked'"),
+        (HttpError::ConflictingBodyLength, 400, "more than one Content-Length or Transfer-Encoding header"),
+        (HttpError::MalformedChunks, 400, "the chunked encoding of the body is malformed"),
+        (HttpError::ChunkTooLong, 413, "a chunk of the body is too large"),
+        (HttpError::BodyTooLarge, 413, "the body exceeds 64 KiB, or the encoded request 144 KiB"),
     ] {
         assert_eq!((error.status(), error.to_string().as_str()), (status, text));
     }
--- a/crates/query-router/src/protocol/query_request.rs
+++ b/crates/query-router/src/protocol/query_request.rs
@@ -41,41 +41,41 @@
 /// A field of a query is missing or invalid. The error text is the body of the response to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum QueryRequestError {
-    /// `X-Trace-Id` is missing, too long or not printable ASCII.
-    #[error("X-Trace-Id is missing or not a plain word")]
+    /// `X-Trace-Id` is missing, too long, or contains a space or a character other than printable ASCII.
+    #[error("X-Trace-Id must have 1 to 128 printable ASCII characters without spaces")]
     InvalidTraceId,
-    /// `X-Qos` names no configured service class.
-    #[error("X-Qos names no known service class")]
+    /// `X-Qos` is missing or not the name of a configured service class.
+    #[error("X-Qos is missing or not a configured service class")]
     UnknownServiceClass,
-    /// `X-Customer` names no configured tenant.
-    #[error("X-Customer names no known customer")]
+    /// `X-Customer` is missing or not the name of a configured tenant.
+    #[error("X-Customer is missing or not a configured tenant")]
     UnknownTenant,
-    /// `X-Expires-In-Ms` is not a positive number.
-    #[error("X-Expires-In-Ms is missing or not a positive whole number")]
+    /// `X-Expires-In-Ms` is missing or not a positive 32-bit integer.
+    #[error("X-Expires-In-Ms is missing or not a positive 32-bit integer")]
     InvalidDeadline,
     /// The body is not JSON.
-    #[error("the body is not JSON")]
+    #[error("the body is not valid JSON")]
     NotJson,
-    /// `segments` is missing, empty or not a list.
-    #[error("segments is missing or not a list of parts")]
+    /// `segments` is missing, empty or not an array.
+    #[error("'segments' is missing, empty or not an array")]
     InvalidSegments,
-    /// A `segment` is not the index of a configured shard.
-    #[error("a segment's number names no known shard")]
+    /// A `segment` is missing or not the index of a configured shard.
+    #[error("a 'segment' is missing or not the index of a configured shard")]
     UnknownShard,
     /// A shard is requested more than once.
-    #[error("a segment is named twice")]
+    #[error("'segments' contains a shard twice")]
     DuplicateShard,
-    /// A `boost` is not a number from 0 to 1.
-    #[error("a segment's boost is missing or not a share")]
+    /// A `boost` is missing or not a number from 0 to 1.
+    #[error("a 'boost' is missing or not a number from 0 to 1")]
     InvalidWeight,
     /// A `work` is neither absent nor a non-negative number.
-    #[error("a segment's work is not a time")]
+    #[error("a 'work' is negative or not a number")]
     InvalidWork,
     /// The weights do not add up to 1.
-    #[error("the segments' boosts do not add up to 1")]
+    #[error("the values of 'boost' do not add up to 1")]
     InvalidTotalWeight,
     /// `text` is missing or not a string.
-    #[error("text is missing or not a text")]
+    #[error("'text' is missing or not a string")]
     InvalidText,
 }
 
--- a/crates/query-router/src/protocol/query_request/tests.rs
+++ b/crates/query-router/src/protocol/query_request/tests.rs
@@ -48,18 +48,21 @@
 #[test]
 fn error_texts_are_the_bodies_sent_to_clients() {
     for (error, text) in [
-        (QueryRequestError::InvalidTraceId, "X-Trace-Id is missing or not a plain word"),
-        (QueryRequestError::UnknownServiceClass, "X-Qos names no known service class"),
-        (QueryRequestError::UnknownTenant, "X-Customer names no known customer"),
-        (QueryRequestError::InvalidDeadline, "X-Expires-In-Ms is missing or not a positive whole number"),
-        (QueryRequestError::NotJson, "the body is not JSON"),
-        (QueryRequestError::InvalidSegments, "segments is missing or not a list of parts"),
-        (QueryRequestError::UnknownShard, "a segment's number names no known shard"),
-        (QueryRequestError::DuplicateShard, "a segment is named twice"),
-        (QueryRequestError::InvalidWeight, "a segment's boost is missing or not a share"),
-        (QueryRequestError::InvalidWork, "a segment's work is not a time"),
-        (QueryRequestError::InvalidTotalWeight, "the segments' boosts do not add up to 1"),
-        (QueryRequestError::InvalidText, "text is missing or not a text"),
+        (
+            QueryRequestError::InvalidTraceId,
+            "X-Trace-Id must have 1 to 128 printable ASCII characters without spaces",
+        ),
+        (QueryRequestError::UnknownServiceClass, "X-Qos is missing or not a configured service class"),
+        (QueryRequestError::UnknownTenant, "X-Customer is missing or not a configured tenant"),
+        (QueryRequestError::InvalidDeadline, "X-Expires-In-Ms is missing or not a positive 32-bit integer"),
+        (QueryRequestError::NotJson, "the body is not valid JSON"),
+        (QueryRequestError::InvalidSegments, "'segments' is missing, empty or not an array"),
+        (QueryRequestError::UnknownShard, "a 'segment' is missing or not the index of a configured shard"),
+        (QueryRequestError::DuplicateShard, "'segments' contains a shard twice"),
+        (QueryRequestError::InvalidWeight, "a 'boost' is missing or not a number from 0 to 1"),
+        (QueryRequestError::InvalidWork, "a 'work' is negative or not a number"),
+        (QueryRequestError::InvalidTotalWeight, "the values of 'boost' do not add up to 1"),
+        (QueryRequestError::InvalidText, "'text' is missing or not a string"),
     ] {
         assert_eq!(error.to_string(), text);
     }
