--- a/crates/query-router/src/counters.rs
+++ b/crates/query-router/src/counters.rs
@@ -25,11 +25,12 @@
     client_connections_arrived,
     /// Client connections that had to wait for a free socket.
     client_connections_delayed,
-    /// Idle client connections that were closed to make room for others.
+    /// Evictions of idle client connections to make room for others; a connection with unread input stays open.
     client_connections_evicted,
     /// Requests that were malformed or contained an invalid query.
     requests_invalid,
-    /// Requests that were rejected while incomplete because all incomplete requests together exceeded the memory limit.
+    /// Requests that were rejected while incomplete because the unconsumed bytes of all clients exceeded their share of
+    /// the memory limit.
     requests_over_memory,
     /// Requests that timed out before they were received completely.
     client_requests_stalled,
@@ -55,9 +56,9 @@
     attempts_retried,
     /// Hedged attempts: further attempts at a shard request that had another attempt in flight.
     attempts_hedged,
-    /// Attempts that were queued for writing on a connection.
+    /// Attempts that were passed to the event loop for writing.
     attempts_sent,
-    /// Batches that were queued for writing on a connection.
+    /// Batches that were passed to the event loop for writing.
     batches_sent,
     /// Batches that were moved from a connection that was still being established to an idle one.
     batches_reassigned,
@@ -81,20 +82,21 @@
     attempts_malformed_response,
     /// Responses to shard requests that were not in flight on the connection.
     responses_late,
-    /// Malformed frames received while an attempt was in flight on the connection, and notices from nodes that they
-    /// could not parse a frame.
+    /// Frames that were malformed or not received completely in time while an attempt was in flight on the connection,
+    /// and notices from nodes that they could not parse a frame.
     frames_malformed,
-    /// Malformed frames received while no attempt was in flight on the connection.
+    /// Frames that were malformed or not received completely in time while no attempt was in flight on the connection.
     frames_unexpected,
     /// Connections to nodes that the router started to open.
     node_connections_opened,
-    /// Connections to nodes that were delayed by a local shortage, such as of ports or file descriptors.
+    /// Failures to start a connection to a node due to a local shortage, such as of ports or file descriptors. Each
+    /// failed retry counts again.
     node_connections_delayed,
     /// Connections to nodes that were never established.
     node_connections_failed,
     /// Connections to nodes that were closed while idle.
     node_connections_closed_idle,
-    /// Health checks that were queued for writing on a connection.
+    /// Health checks that were passed to the event loop for writing.
     health_checks_sent,
     /// Full endpoint lists that were applied, including the cached one from the configuration.
     endpoint_lists_full,
@@ -104,7 +106,7 @@
     endpoint_lists_invalid,
     /// Endpoint lists that were skipped because a newer revision was already applied.
     endpoint_lists_stale,
-    /// Watches that were replaced because discovery sent nothing for too long.
+    /// Watches that were restarted because no complete message followed the previous one in time.
     endpoint_watches_silent,
     /// Polls and watches that were started.
     discovery_requests,
--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -1,4 +1,4 @@
-//! Execution of the effects that the router requests, and the reports of the events that follow from them.
+//! Execution of the effects that the router requests, and reporting of the events that follow from them.
 
 use super::pending_event::PendingEvent;
 use super::retries::Retry;
@@ -16,14 +16,14 @@
     /// Reports an event to the router and executes the effects that the router requests.
     pub(super) fn report_event(&mut self, event: Event) {
         self.router.step(self.clock.now(), event);
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
     /// Executes the requested effects and reports the events that follow from them, until neither is left.
-    pub(super) fn carry_out_effects(&mut self) {
+    pub(super) fn execute_effects(&mut self) {
         loop {
             for effect in self.router.take_effects() {
-                self.carry_out(effect);
+                self.execute(effect);
             }
             let now = self.clock.now();
             match self.pending_events.pop_front() {
@@ -48,7 +48,7 @@
     }
 
     /// Executes one effect and queues the events that follow from it.
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Accept(connection) => {
                 if let Some(stream) = self.listener.take_accepted() {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Schedules another attempt to open a connection after a local shortage.
+    /// Schedules another attempt to open a connection after a transient error.
     fn delay_opening(&mut self, connection: ConnectionId, error: &std::io::Error, retry: Retry) {
         let now = self.clock.now();
         tracing::debug!(connection = connection.0, %error, "connect delayed by a local shortage; retrying");
@@ -114,7 +114,7 @@
                 }
             }
         }
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
     /// Schedules another attempt to read and write on a connection after a local shortage.
--- a/crates/query-router/src/event_loop/iteration.rs
+++ b/crates/query-router/src/event_loop/iteration.rs
@@ -64,14 +64,14 @@
                 ConnectProgress::Unknown => return self.read_and_write_later(connection),
                 ConnectProgress::Failed => {
                     self.close_and_report(connection);
-                    return self.carry_out_effects();
+                    return self.execute_effects();
                 }
                 ConnectProgress::Connected => self.report_event(Event::Established(connection)),
             }
         }
         if readiness.writable {
             self.write_queued(connection);
-            self.carry_out_effects();
+            self.execute_effects();
         }
         if readiness.readable {
             self.read(connection);
@@ -86,7 +86,7 @@
             match socket.read(&mut self.read_buffer) {
                 ReadOutcome::Received => {
                     self.router.step(self.clock.now(), Event::Received { connection, bytes: socket.input() });
-                    self.carry_out_effects();
+                    self.execute_effects();
                 }
                 ReadOutcome::Interrupted => {}
                 ReadOutcome::LocalShortage => return self.read_and_write_later(connection),
@@ -105,7 +105,7 @@
     /// Closes a connection after a read returned the end of the stream or an error.
     fn close_after_read(&mut self, connection: ConnectionId) {
         self.close_and_report(connection);
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
     /// Accepts clients until none is waiting, accepting fails, or the router does not take an accepted stream. Pauses
@@ -137,7 +137,7 @@
     /// Lets the router decide, and executes the effects that it requests.
     pub(super) fn decide(&mut self) {
         self.router.decide(self.clock.now());
-        self.carry_out_effects();
+        self.execute_effects();
     }
 
     /// Ends the loop if the router requested the exit and still has no work. Accepts waiting clients first: exiting
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -34,7 +34,7 @@
     token: RegistrationToken,
     /// Whether the event loop watches the listener.
     enabled: bool,
-    /// Time at which to accept again after a failure; 0 if the last attempt did not fail.
+    /// Time at which to accept again after a failure; 0 if there was none since the last accepted connection.
     retry_at: Micros,
     /// Accepted streams that the router has not taken yet, in order of arrival.
     accepted: VecDeque<TcpStream>,
@@ -93,7 +93,7 @@
         self.schedule_retry(Errno::CONNABORTED, clock)
     }
 
-    /// Schedules the next attempt, and logs the first of several successive failures.
+    /// Schedules the next attempt, and logs the first failure since the last accepted connection.
     fn schedule_retry(&mut self, error: Errno, clock: &Clock) -> AcceptOutcome {
         if self.retry_at == 0 {
             tracing::warn!(%error, "accepting a client connection failed; retrying");
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -46,7 +46,7 @@
 ///
 /// # Errors
 ///
-/// Returns a [`ServeError`] if the router cannot start, or if polling for events fails repeatedly.
+/// Returns a [`ServeError`] if the router cannot start, or if waiting for events fails repeatedly.
 pub fn serve(signals: SignalSource, config: Config, config_path: String) -> Result<(), ServeError> {
     let (mut event_loop, mut server) = start(signals, config, config_path)?;
     while server.exit != ExitState::Done {
--- a/crates/query-router/src/event_loop/server.rs
+++ b/crates/query-router/src/event_loop/server.rs
@@ -84,7 +84,7 @@
             return Err(ServeError::EventLoop(error));
         }
         if self.wait_failures == 1 {
-            tracing::warn!(%error, "waiting for events failed; polling all connections");
+            tracing::warn!(%error, "waiting for events failed; reading and writing all connections");
         }
         std::thread::sleep(WAIT_FAILURE_PAUSE);
         let readiness = Readiness { readable: true, writable: true, error: false };
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -31,7 +31,7 @@
 pub(super) enum ConnectProgress {
     /// The TCP handshake is still in progress.
     Pending,
-    /// The check itself failed with a transient error and is to be repeated later.
+    /// The check itself failed and is to be repeated later.
     Unknown,
     /// The connection is established.
     Connected,
@@ -277,7 +277,7 @@
 ///
 /// # Errors
 ///
-/// Returns the I/O error if connecting fails immediately.
+/// Returns the I/O error if the socket cannot be created or connecting fails immediately.
 pub(super) fn start_connecting(address: SocketAddr) -> std::io::Result<TcpStream> {
     let family = if address.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -54,9 +54,10 @@
 /// The input that is acceptable on a connection at the time of [`Effect::WriteIfOpen`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedInput {
-    /// A response is outstanding, so unread bytes do not prevent the write.
+    /// A response is outstanding, or no attempt is to be written: unread bytes do not prevent the write.
     Response,
-    /// No response is outstanding: unread bytes are a notice that the peer is about to close the connection.
+    /// No response is outstanding: unread bytes are a notice that the peer is about to close the connection, or the
+    /// start of an unexpected frame.
     Nothing,
 }
 
--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -1,4 +1,4 @@
-//! The query router as a server: [`serve`] answers queries until it receives a signal to shut down. The binary
+//! The query router as a server: [`serve`] answers queries until a signal starts a graceful shutdown. The binary
 //! `query-router` in `crates/cli` starts it; `docs/architecture.md` describes its modules.
 //!
 //! The event loop owns all operating system resources: sockets, signals and the clock. It reports events to the
