--- a/crates/query-router/src/event_loop/error.rs
+++ b/crates/query-router/src/event_loop/error.rs
@@ -8,10 +8,10 @@
 #[non_exhaustive]
 pub enum ServeError {
     /// The signals cannot be blocked, or their event source cannot be registered.
-    #[error("signals: {0}")]
+    #[error("blocking or registering the signals: {0}")]
     Signals(#[source] calloop::Error),
     /// The event loop cannot be created, or waiting for events failed.
-    #[error("event loop: {0}")]
+    #[error("creating the event loop or waiting for events: {0}")]
     EventLoop(#[source] calloop::Error),
     /// The listening socket cannot be bound to the configured address.
     #[error("listen on {address}: {source}")]
--- a/crates/query-router/src/event_loop/server.rs
+++ b/crates/query-router/src/event_loop/server.rs
@@ -67,7 +67,7 @@
     pub(super) wake_at: Option<Micros>,
     /// Scratch buffer for reads from any connection.
     pub(super) read_buffer: Vec<u8>,
-    /// Whether the loop is to end.
+    /// Whether the exit is requested, and whether the loop is to end.
     pub(super) exit: ExitState,
 }
 
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -108,7 +108,7 @@
         ConnectionId(self.server.sockets.iter().position(has_peer).expect("a connection"))
     }
 
-    fn has_received(&self, connection: ConnectionId) -> bool {
+    fn has_unread_input(&self, connection: ConnectionId) -> bool {
         !matches!(self.server.unread(connection), None | Some(Unread::Nothing))
     }
 }
@@ -175,7 +175,7 @@
         let node_connection = router.connection_to(router.node.local_addr().expect("an address"));
         first_connection.write_all(&last_bytes).expect("writing to the router");
         client.write_all(query("t2").as_bytes()).expect("writing to the router");
-        while !router.has_received(node_connection) || !router.has_received(client_connection) {
+        while !router.has_unread_input(node_connection) || !router.has_unread_input(client_connection) {
             std::thread::yield_now();
         }
         router.server.read_in_next_iteration(client_connection);
--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -89,8 +89,8 @@
         /// The buffers in the order in which they are written.
         buffers: Vec<Bytes>,
     },
-    /// Writes buffers like [`Effect::Write`], unless the peer has closed the connection or sent unexpected bytes: then
-    /// the connection is closed and [`Event::Ended`] follows.
+    /// Writes buffers like [`Effect::Write`], unless unread input shows that the peer has closed the connection or
+    /// sent unexpected bytes: then the connection is closed and [`Event::Ended`] follows.
     WriteIfOpen {
         /// The connection to write on.
         connection: ConnectionId,
