--- a/crates/query-router/src/event_loop/server.rs
+++ b/crates/query-router/src/event_loop/server.rs
@@ -67,7 +67,7 @@
     pub(super) wake_at: Option<Micros>,
     /// Scratch buffer for reads from any connection.
     pub(super) read_buffer: Vec<u8>,
-    /// Whether the loop is to end.
+    /// Whether the exit is requested, and whether the loop is to end.
     pub(super) exit: ExitState,
 }
 
@@ -84,7 +84,7 @@
             return Err(ServeError::EventLoop(error));
         }
         if self.wait_failures == 1 {
-            tracing::warn!(%error, "waiting for events failed; polling all connections");
+            tracing::warn!(%error, "waiting for events failed; reading and writing all connections");
         }
         std::thread::sleep(WAIT_FAILURE_PAUSE);
         let readiness = Readiness { readable: true, writable: true, error: false };
--- a/crates/query-router/src/io.rs
+++ b/crates/query-router/src/io.rs
@@ -44,7 +44,7 @@
     /// The time set by the last [`Effect::WakeAt`] is reached.
     TimerExpired,
     /// The configuration was reloaded; it states this discovery address, which may be unchanged.
-    DiscoveryMoved(SocketAddr),
+    DiscoveryAddressReloaded(SocketAddr),
     /// A signal requests a graceful shutdown.
     Terminate,
     /// A signal requests the counters.
@@ -54,9 +54,10 @@
 /// The input that is acceptable on a connection at the time of [`Effect::WriteIfOpen`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedInput {
-    /// A response is outstanding, so unread bytes do not prevent the write.
+    /// A response is outstanding, or no attempt is to be written: unread bytes do not prevent the write.
     Response,
-    /// No response is outstanding: unread bytes are a notice that the peer is about to close the connection.
+    /// No response is outstanding: unread bytes are a notice that the peer is about to close the connection, or the
+    /// start of an unexpected frame.
     Nothing,
 }
 
@@ -88,8 +89,8 @@
         /// The buffers in the order in which they are written.
         buffers: Vec<Bytes>,
     },
-    /// Writes buffers like [`Effect::Write`], unless the peer has closed the connection or sent unexpected bytes: then
-    /// the connection is closed and [`Event::Ended`] follows.
+    /// Writes buffers like [`Effect::Write`], unless unread input shows that the peer has closed the connection or
+    /// sent unexpected bytes: then the connection is closed and [`Event::Ended`] follows.
     WriteIfOpen {
         /// The connection to write on.
         connection: ConnectionId,
--- a/crates/query-router/src/router/node_connections/receive.rs
+++ b/crates/query-router/src/router/node_connections/receive.rs
@@ -67,7 +67,7 @@
     match kind {
         FrameKind::Response => receive_response(context, queries, id, payload),
         FrameKind::Health | FrameKind::Load => receive_health(context, id, payload),
-        FrameKind::NotUnderstood => {
+        FrameKind::ProtocolError => {
             // The node closes the connection after this frame, so queued attempts end as not sent and can be retried on
             // another connection.
             record_malformed_frame(context, id, &String::from_utf8_lossy(payload));
