--- a/crates/control-plane/src/control_plane/desired_state_update.rs
+++ b/crates/control-plane/src/control_plane/desired_state_update.rs
@@ -17,30 +17,30 @@
             return;
         }
         let (proxies, instances) = (self.proxy_counts(now), self.options.instances);
-        let mut desired = DesiredState::new(now, &self.endpoints, &self.site, proxies, instances);
+        let mut desired = DesiredState::new(now, &self.endpoints, &self.deployment, proxies, instances);
         if self.desired.generation > 0 && desired.is_equivalent(&self.desired) {
             return;
         }
         desired.generation = self.desired.generation + 1;
         self.metrics.desired_states.inc();
         self.track_drains(now, &desired);
-        self.resources.retain(&self.desired, &desired);
+        self.resources.switch_desired_state(&self.desired, &desired);
         self.snapshots.clear();
         self.desired = desired;
         self.push_to_all(now);
     }
 
     /// Returns the number of proxies among which capacity is divided: those that are connected or may still apply
-    /// earlier grants, and for `hold` after the start at least the expected number. Otherwise every share would
+    /// earlier grants, and for `grant_hold` after the start at least the expected number. Otherwise every share would
     /// change with each proxy that reconnects after a restart of the control plane.
     fn proxy_counts(&self, now: Micros) -> ProxyCounts {
-        let mut by_zone = vec![0; self.site.zones.len()];
+        let mut by_zone = vec![0; self.deployment.zones.len()];
         for proxy in self.proxies.values() {
             if let Some(count) = by_zone.get_mut(proxy.zone) {
                 *count += 1;
             }
         }
-        let is_starting_up = now < self.started_at + self.options.hold;
+        let is_starting_up = now < self.started_at + self.options.grant_hold;
         let expected = if is_starting_up { self.options.expected_proxies } else { 1 };
         let zones = by_zone.len().max(1) as u32;
         for count in &mut by_zone {
@@ -82,7 +82,7 @@
             let session = &proxy.session;
             clusters.iter().any(|name| {
                 session.acknowledged_generation(endpoints, name).is_some()
-                    || session.had_before(endpoints, name)
+                    || session.had_on_previous_stream(endpoints, name)
                     || session.is_pending(endpoints, name)
             })
         };
--- a/crates/control-plane/src/control_plane/maintenance.rs
+++ b/crates/control-plane/src/control_plane/maintenance.rs
@@ -33,10 +33,10 @@
         self.effects.extend(self.endpoints.addresses().map(|(address, _)| Effect::ProbeNode(address)));
     }
 
-    /// Removes proxies that have been disconnected for longer than both `hold` and the lease, and releases their
+    /// Removes proxies that have been disconnected for longer than both `grant_hold` and the lease, and releases their
     /// grants.
     pub(super) fn remove_expired_proxies(&mut self, now: Micros) {
-        let retention = self.options.hold.max(self.options.lease);
+        let retention = self.options.grant_hold.max(self.options.lease);
         let mut expired = Vec::new();
         for (&id, proxy) in &self.proxies {
             let is_expired = proxy.disconnected_at().is_some_and(|at| now - at > retention);
@@ -68,10 +68,9 @@
             self.close_stream(now, stream, StreamError::NoFirstMessage);
         }
         let timeout = self.options.answer_timeout;
-        let unresponsive = self
-            .proxies
-            .values()
-            .filter(|proxy| proxy.session.oldest_pending().is_some_and(|sent_at| now - sent_at > timeout));
+        let unresponsive = self.proxies.values().filter(|proxy| {
+            proxy.session.oldest_pending_sent_at().is_some_and(|sent_at| now - sent_at > timeout)
+        });
         let unresponsive: Vec<StreamId> = unresponsive.filter_map(|proxy| proxy.stream()).collect();
         for stream in unresponsive {
             self.close_stream(now, stream, StreamError::AcknowledgementTimeout);
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -15,6 +15,7 @@
 pub use stream_error::StreamError;
 
 use crate::capacity_ledger::CapacityLedger;
+use crate::deployment_settings::DeploymentSettings;
 use crate::desired_state::DesiredState;
 use crate::drain_tracker::DrainTracker;
 use crate::endpoint_table::{EndpointTable, RequestedActions, WatchRequest};
@@ -25,7 +26,6 @@
 use crate::resource::ResourceSnapshot;
 use crate::resource_cache::{ProxyGrants, ResourceCache};
 use crate::session::{ProtocolVariant, Response};
-use crate::site_settings::SiteSettings;
 use balancer::{DiscoveryMode, EndpointUpdate, Idempotency, Micros};
 use proxy_state::{ProxyState, StreamState};
 use query_router::config::Config;
@@ -82,7 +82,7 @@
 /// The state of the control plane.
 pub struct ControlPlane {
     options: Options,
-    site: SiteSettings,
+    deployment: DeploymentSettings,
     endpoints: EndpointTable,
     desired: DesiredState,
     resources: ResourceCache,
@@ -108,11 +108,11 @@
 impl ControlPlane {
     /// Creates a control plane with the cached endpoints of the configuration and no proxies.
     pub fn new(now: Micros, config: &Config, options: Options) -> ControlPlane {
-        let site = SiteSettings::new(config);
+        let deployment = DeploymentSettings::new(config);
         let mut control_plane = ControlPlane {
-            resources: ResourceCache::new(&options, &site.zones),
+            resources: ResourceCache::new(&options, &deployment.zones),
             options,
-            site,
+            deployment,
             endpoints: EndpointTable::new(config),
             desired: DesiredState::default(),
             snapshots: HashMap::new(),
@@ -136,7 +136,7 @@
     }
 
     fn warn_of_unsupported_classes(&self) {
-        for class in &self.site.classes {
+        for class in &self.deployment.classes {
             if class.idempotency == Idempotency::Keyed {
                 let name = &class.name;
                 tracing::warn!(
@@ -159,16 +159,16 @@
 
     /// Returns the connect timeout of a probe of a data node.
     pub(crate) fn probe_timeout(&self) -> Duration {
-        self.site.probe_timeout
+        self.deployment.probe_timeout
     }
 
     /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed.
     pub fn endpoint_update(&mut self, now: Micros, list: &Json, update: EndpointUpdate) {
         let mut actions = RequestedActions::default();
-        self.endpoints.update(now, &self.site, list, update, &mut actions);
+        self.endpoints.update(now, &self.deployment, list, update, &mut actions);
         if update == EndpointUpdate::Failed {
             self.metrics.endpoint_updates_failed.inc();
-            let is_pushed = self.site.discovery_mode == DiscoveryMode::Pushed;
+            let is_pushed = self.deployment.discovery_mode == DiscoveryMode::Pushed;
             self.next_watch_at = is_pushed.then_some(now + WATCH_RETRY_DELAY);
         } else {
             self.metrics.endpoint_updates.inc();
@@ -210,7 +210,7 @@
         self.decide(now, RequestedActions::default());
         self.renew_leases(now);
         self.push_to_partially_granted(now);
-        let grace_started = now - self.site.drain_grace;
+        let grace_started = now - self.deployment.drain_grace;
         self.metrics.drains_past_grace.set(self.drains.unacknowledged_count(grace_started) as i64);
         self.check_invariants();
     }
@@ -227,7 +227,7 @@
     }
 
     /// Returns the resources that a proxy with this ID and zone would be sent; empty if it may not be served.
-    pub(crate) fn snapshot_of(&mut self, now: Micros, node: ProxyNode) -> Arc<ResourceSnapshot> {
+    pub(crate) fn snapshot_for(&mut self, now: Micros, node: ProxyNode) -> Arc<ResourceSnapshot> {
         let service = Service::Discovery(ProtocolVariant::Delta);
         self.stream_opened(now, DUMP_STREAM, service, AuthorizedNames::Any);
         let proxy = self.identify_proxy(now, DUMP_STREAM, Some(node));
--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -71,7 +71,7 @@
         if self.snapshots.len() >= MAX_SNAPSHOTS {
             self.snapshots.clear();
         }
-        let snapshot = Arc::new(self.resources.snapshot(&self.site, &self.desired, &grants));
+        let snapshot = Arc::new(self.resources.snapshot(&self.deployment, &self.desired, &grants));
         self.snapshots.insert(grants, snapshot.clone());
         snapshot
     }
@@ -82,10 +82,10 @@
         self.offer_replica_sets(&mut offer, id, proxy);
         self.offer_constrained_nodes(&mut offer, now, id, proxy);
         let constrained = &offer.grants.constrained;
-        let is_leaving = |name: &&String| {
+        let is_revoked = |name: &&String| {
             is_node_cluster(name) && !constrained.iter().any(|grant| grant.cluster == **name)
         };
-        offer.grants.leaving = proxy.session.sent_clusters().filter(is_leaving).cloned().collect();
+        offer.grants.revoked_clusters = proxy.session.sent_clusters().filter(is_revoked).cloned().collect();
         offer
     }
 
@@ -123,8 +123,8 @@
     /// after a restart, or have not acknowledged the node's drain, may still send a warming node the load of a warm
     /// one.
     fn may_raise_grants(&self, now: Micros, node: NodeId) -> bool {
-        let awaits_reconnects =
-            self.earlier_versions == EarlierVersions::InUse && now < self.started_at + self.options.hold;
+        let awaits_reconnects = self.earlier_versions == EarlierVersions::InUse
+            && now < self.started_at + self.options.grant_hold;
         !awaits_reconnects && self.drains.is_complete(node)
     }
 
@@ -159,9 +159,9 @@
 impl GrantOffer {
     /// An offer without grants.
     fn new(zone: usize) -> GrantOffer {
-        let (replica_sets, constrained, leaving) = (Vec::new(), Vec::new(), Vec::new());
+        let (replica_sets, constrained, revoked_clusters) = (Vec::new(), Vec::new(), Vec::new());
         GrantOffer {
-            grants: ProxyGrants { zone, replica_sets, constrained, leaving },
+            grants: ProxyGrants { zone, replica_sets, constrained, revoked_clusters },
             status: GrantStatus::Full,
             coverage: OfferCoverage::WithinGrants,
         }
--- a/crates/control-plane/src/control_plane/stream.rs
+++ b/crates/control-plane/src/control_plane/stream.rs
@@ -120,7 +120,7 @@
     ) -> ProxyState {
         ProxyState {
             name: node.id.to_string(),
-            zone: self.site.zone_index(node.zone),
+            zone: self.deployment.zone_index(node.zone),
             connection,
             session,
             grants: GrantStatus::Full,
--- a/crates/control-plane/src/control_plane/stream_error.rs
+++ b/crates/control-plane/src/control_plane/stream_error.rs
@@ -1,5 +1,6 @@
 //! Errors with which the control plane closes a stream.
 
+use crate::load_reports::MAX_REPORT_ENTRIES;
 use crate::session::RequestError;
 use tonic::Code;
 
@@ -16,7 +17,7 @@
     #[error("too many proxies")]
     TooManyProxies,
     /// The first message has no `node.id`.
-    #[error("node.id: the first message names none")]
+    #[error("node.id is missing in the first message")]
     MissingNodeId,
     /// The proxy's ID exceeds the maximum length.
     #[error("node.id: {length} bytes, more than {MAX_NODE_ID_LENGTH}")]
@@ -25,13 +26,13 @@
         length: usize,
     },
     /// The client's certificate does not contain the proxy's ID.
-    #[error("node.id: the certificate does not name it")]
+    #[error("node.id is not among the names in the client certificate")]
     UnauthorizedNodeId,
     /// The proxy opened a newer discovery stream.
-    #[error("a newer stream of the same proxy")]
+    #[error("replaced by a newer stream of the same proxy")]
     Replaced,
     /// The request has the type URL of an unsupported resource type.
-    #[error("type_url: '{type_url}' is not served")]
+    #[error("type_url: '{type_url}' is not a supported resource type")]
     UnknownResourceType {
         /// The type URL, truncated and escaped.
         type_url: String,
@@ -40,10 +41,10 @@
     #[error(transparent)]
     InvalidRequest(#[from] RequestError),
     /// The load report has more entries than a report may have.
-    #[error("cluster_stats: more entries than data nodes can be")]
+    #[error("cluster_stats has more than {MAX_REPORT_ENTRIES} endpoint entries")]
     TooManyLoadReportEntries,
     /// The proxy did not send the first message in time.
-    #[error("nothing was said on it")]
+    #[error("no message was received on the stream in time")]
     NoFirstMessage,
     /// The proxy did not acknowledge or reject a response in time.
     #[error("a response was not answered in time")]
--- a/crates/control-plane/src/site_settings.rs
+++ b/crates/control-plane/src/deployment_settings.rs
@@ -22,7 +22,7 @@
 
 /// The settings that the control plane uses. They do not change before a restart.
 #[derive(Clone, Debug)]
-pub(crate) struct SiteSettings {
+pub(crate) struct DeploymentSettings {
     pub zones: Vec<String>,
     pub classes: Vec<ServiceClass>,
     /// Number of replica sets into which the data nodes are divided.
@@ -42,12 +42,12 @@
     pub discovery_mode: DiscoveryMode,
 }
 
-impl SiteSettings {
+impl DeploymentSettings {
     /// Extracts the settings from a configuration.
-    pub fn new(config: &Config) -> SiteSettings {
+    pub fn new(config: &Config) -> DeploymentSettings {
         let Settings { shards, limits, rules, .. } = &config.settings;
         let probe_timeout = limits.connect_timeout.unwrap_or(0).max(MIN_PROBE_TIMEOUT);
-        SiteSettings {
+        DeploymentSettings {
             zones: config.settings.zones.clone(),
             classes: config.settings.named_classes().map(ServiceClass::new).collect(),
             replica_sets: shards.replica_sets_or_one(),
--- a/crates/control-plane/src/desired_state.rs
+++ b/crates/control-plane/src/desired_state.rs
@@ -4,9 +4,9 @@
 //! Capacities and percentages from the balancer are rounded down to steps, so that small variations from sample to
 //! sample do not change the desired state.
 
+use crate::deployment_settings::DeploymentSettings;
 use crate::endpoint_table::{EndpointTable, EndpointView};
 use crate::fair_share::{proxy_divisor, round_down};
-use crate::site_settings::SiteSettings;
 use balancer::{EndpointHealth, Micros, NodeId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -99,18 +99,19 @@
     /// Derives the desired state from the health of the nodes. Capacity is divided evenly among `instances` control
     /// planes.
     pub fn new(
-        now: Micros, endpoints: &EndpointTable, site: &SiteSettings, proxies: ProxyCounts, instances: u32,
+        now: Micros, endpoints: &EndpointTable, deployment: &DeploymentSettings, proxies: ProxyCounts,
+        instances: u32,
     ) -> DesiredState {
         let views = endpoints.views(now);
         let mut state = DesiredState { proxies, ..DesiredState::default() };
-        for index in 0..site.shard_groups() {
+        for index in 0..deployment.shard_groups() {
             let views: Vec<&EndpointView> =
-                views.iter().filter(|view| site.holds_shards(view.replica_set, index)).collect();
-            state.replica_sets.push(state.replica_set(now, endpoints, site, &views, instances));
+                views.iter().filter(|view| deployment.holds_shards(view.replica_set, index)).collect();
+            state.replica_sets.push(state.replica_set(now, endpoints, deployment, &views, instances));
             state.cluster_names.push(replica_set_cluster_name(index));
         }
         for view in &views {
-            if let Some(node) = constrained_node(view, site, instances) {
+            if let Some(node) = constrained_node(view, deployment, instances) {
                 state.constrained_nodes.insert(node_cluster_name(view.id), node);
             }
         }
@@ -118,19 +119,19 @@
     }
 
     fn replica_set(
-        &self, now: Micros, endpoints: &EndpointTable, site: &SiteSettings, views: &[&EndpointView],
-        instances: u32,
+        &self, now: Micros, endpoints: &EndpointTable, deployment: &DeploymentSettings,
+        views: &[&EndpointView], instances: u32,
     ) -> ReplicaSet {
         let members: Vec<ReplicaSetMember> = views.iter().filter_map(|view| member(view)).collect();
         let total: u32 = members.iter().map(|member| member.capacity).sum();
-        let divisor = site.replica_sets_per_shard as f64 * instances as f64;
+        let divisor = deployment.replica_sets_per_shard as f64 * instances as f64;
         let nodes: Vec<NodeId> = views.iter().map(|view| view.node).collect();
         let shed_percent = (endpoints.shed_fraction(now, &nodes) * 100.0) as u32;
         let local_percent = |zone| self.local_percent(zone, &members, total);
         ReplicaSet {
             capacity: (total as f64 / divisor) as u32,
             drop_percent: shed_percent / PERCENT_STEP * PERCENT_STEP,
-            local_percent: (0..site.zones.len()).map(local_percent).collect(),
+            local_percent: (0..deployment.zones.len()).map(local_percent).collect(),
             members,
         }
     }
@@ -202,17 +203,19 @@
 }
 
 /// Returns the node as a constrained node; `None` unless it is suspect or warming up.
-fn constrained_node(view: &EndpointView, site: &SiteSettings, instances: u32) -> Option<ConstrainedNode> {
+fn constrained_node(
+    view: &EndpointView, deployment: &DeploymentSettings, instances: u32,
+) -> Option<ConstrainedNode> {
     let (EndpointHealth::Suspect { capacity } | EndpointHealth::WarmingUp { capacity, .. }) = view.health
     else {
         return None;
     };
-    let holds = |&index: &usize| site.holds_shards(view.replica_set, index);
+    let holds = |&index: &usize| deployment.holds_shards(view.replica_set, index);
     Some(ConstrainedNode {
         node: view.node,
         address: view.address,
         zone: view.zone,
-        replica_sets: (0..site.shard_groups()).filter(holds).collect(),
+        replica_sets: (0..deployment.shard_groups()).filter(holds).collect(),
         capacity: round_down((capacity / instances as f64) as u32),
     })
 }
--- a/crates/control-plane/src/drain_tracker.rs
+++ b/crates/control-plane/src/drain_tracker.rs
@@ -96,6 +96,6 @@
 fn has_applied(session: &DiscoverySession, cluster: &str, generation: u64) -> bool {
     match session.acknowledged_generation(ResourceType::Endpoints, cluster) {
         Some(acknowledged) => acknowledged >= generation,
-        None => !session.had_before(ResourceType::Endpoints, cluster),
+        None => !session.had_on_previous_stream(ResourceType::Endpoints, cluster),
     }
 }
--- a/crates/control-plane/src/dump.rs
+++ b/crates/control-plane/src/dump.rs
@@ -22,7 +22,7 @@
 /// in the configuration.
 pub fn dump(now: Micros, config: &Config, options: Options, id: &str, zone: &str) -> Result<Json, DumpError> {
     let mut control_plane = ControlPlane::new(now, config, options);
-    let snapshot = control_plane.snapshot_of(now, ProxyNode { id, zone });
+    let snapshot = control_plane.snapshot_for(now, ProxyNode { id, zone });
     let mut types = Vec::new();
     for resource_type in ResourceType::ALL {
         let mut resources = Vec::new();
--- a/crates/control-plane/src/encode/cluster.rs
+++ b/crates/control-plane/src/encode/cluster.rs
@@ -1,7 +1,7 @@
 //! Clusters (CDS): the limit on requests in flight and the retry budget of a proxy.
 
 use super::{aggregated_discovery, duration, uint32};
-use crate::site_settings::SiteSettings;
+use crate::deployment_settings::DeploymentSettings;
 use prost::Message;
 use xds_api::pb::envoy::config::cluster::v3 as cds;
 use xds_api::pb::envoy::config::core::v3 as core;
@@ -9,9 +9,11 @@
 
 /// Encodes a cluster to which a proxy may have `max_requests` requests in flight. The free retries are divided
 /// among `proxies` proxies.
-pub(crate) fn cluster(site: &SiteSettings, name: &str, max_requests: u32, proxies: u32) -> Vec<u8> {
+pub(crate) fn cluster(
+    deployment: &DeploymentSettings, name: &str, max_requests: u32, proxies: u32,
+) -> Vec<u8> {
     let circuit_breakers = cds::CircuitBreakers {
-        thresholds: vec![thresholds(site, max_requests, proxies)],
+        thresholds: vec![thresholds(deployment, max_requests, proxies)],
         ..Default::default()
     };
     let eds_config =
@@ -21,7 +23,7 @@
         name: name.to_string(),
         cluster_discovery_type: Some(discovery_type),
         eds_cluster_config: Some(eds_config),
-        connect_timeout: duration(site.connect_timeout),
+        connect_timeout: duration(deployment.connect_timeout),
         lb_policy: cds::cluster::LbPolicy::RoundRobin as i32,
         circuit_breakers: Some(circuit_breakers),
         common_lb_config: Some(common_lb_config()),
@@ -32,10 +34,12 @@
     cluster.encode_to_vec()
 }
 
-fn thresholds(site: &SiteSettings, max_requests: u32, proxies: u32) -> cds::circuit_breakers::Thresholds {
-    let retry_budget = site.retry_share.map(|share| cds::circuit_breakers::thresholds::RetryBudget {
+fn thresholds(
+    deployment: &DeploymentSettings, max_requests: u32, proxies: u32,
+) -> cds::circuit_breakers::Thresholds {
+    let retry_budget = deployment.retry_share.map(|share| cds::circuit_breakers::thresholds::RetryBudget {
         budget_percent: Some(Percent { value: share * 100.0 }),
-        min_retry_concurrency: uint32((site.free_retries / proxies.max(1) as f64) as u32),
+        min_retry_concurrency: uint32((deployment.free_retries / proxies.max(1) as f64) as u32),
     });
     cds::circuit_breakers::Thresholds {
         max_requests: uint32(max_requests),
--- a/crates/control-plane/src/encode/routes.rs
+++ b/crates/control-plane/src/encode/routes.rs
@@ -1,9 +1,9 @@
 //! The route configuration (RDS): selects a cluster by the service class and the shard of a request.
 
 use super::{ROUTE_CONFIGURATION, duration, uint32};
+use crate::deployment_settings::{DeploymentSettings, ServiceClass};
 use crate::desired_state::{ConstrainedNode, DesiredState, ReplicaSet, replica_set_cluster_name};
 use crate::resource::Resource;
-use crate::site_settings::{ServiceClass, SiteSettings};
 use balancer::Idempotency;
 use prost::Message;
 use xds_api::pb::envoy::config::core::v3 as core;
@@ -22,13 +22,15 @@
 const RETRY_IDEMPOTENT: &str = "connect-failure,refused-stream,reset,5xx";
 
 /// Encodes the routes of a proxy. `constrained` lists the clusters of constrained nodes that the proxy has.
-pub(crate) fn routes(site: &SiteSettings, state: &DesiredState, constrained: &[String]) -> Resource {
+pub(crate) fn routes(
+    deployment: &DeploymentSettings, state: &DesiredState, constrained: &[String],
+) -> Resource {
     let mut routes = Vec::new();
-    for class in &site.classes {
+    for class in &deployment.classes {
         for (index, replica_set) in state.replica_sets.iter().enumerate() {
             let clusters = cluster_specifier(state, index, replica_set, constrained);
-            let headers = vec![class_matcher(class), shard_matcher(site, index)];
-            routes.push(route(headers, action(site, class, clusters)));
+            let headers = vec![class_matcher(class), shard_matcher(deployment, index)];
+            routes.push(route(headers, action(deployment, class, clusters)));
         }
     }
     routes.push(route(Vec::new(), direct_response(404, "no such service class or shard\n")));
@@ -59,8 +61,8 @@
 }
 
 /// Matches the shards whose first replica set is `replica_set`.
-fn shard_matcher(site: &SiteSettings, replica_set: usize) -> rds::HeaderMatcher {
-    let shards = (replica_set..site.shards).step_by(site.replica_sets);
+fn shard_matcher(deployment: &DeploymentSettings, replica_set: usize) -> rds::HeaderMatcher {
+    let shards = (replica_set..deployment.shards).step_by(deployment.replica_sets);
     let shards: Vec<String> = shards.map(|shard| shard.to_string()).collect();
     let regex = RegexMatcher { regex: shards.join("|"), ..Default::default() };
     let regex = rds::header_matcher::HeaderMatchSpecifier::SafeRegexMatch(regex);
@@ -116,7 +118,7 @@
 }
 
 fn action(
-    site: &SiteSettings, class: &ServiceClass, clusters: rds::route_action::ClusterSpecifier,
+    deployment: &DeploymentSettings, class: &ServiceClass, clusters: rds::route_action::ClusterSpecifier,
 ) -> rds::route::Action {
     if class.idempotency == Idempotency::Keyed {
         return direct_response(501, "a keyed class: its keys can't be kept by a proxy\n");
@@ -125,7 +127,7 @@
     rds::route::Action::Route(rds::RouteAction {
         cluster_specifier: Some(clusters),
         timeout: duration(class.request_timeout),
-        retry_policy: Some(retry_policy(site, class)),
+        retry_policy: Some(retry_policy(deployment, class)),
         cluster_not_found_response_code: not_found as i32,
         ..Default::default()
     })
@@ -141,17 +143,17 @@
 
 /// Retries avoid the nodes of earlier attempts. An idempotent attempt times out after half the latency objective
 /// and is retried.
-fn retry_policy(site: &SiteSettings, class: &ServiceClass) -> rds::RetryPolicy {
+fn retry_policy(deployment: &DeploymentSettings, class: &ServiceClass) -> rds::RetryPolicy {
     let (retry_on, per_try_timeout) = match class.idempotency {
         Idempotency::Idempotent => (RETRY_IDEMPOTENT, duration(class.latency_objective / 2)),
         Idempotency::Keyed | Idempotency::NonIdempotent => (RETRY_NOT_EXECUTED, None),
     };
     rds::RetryPolicy {
         retry_on: retry_on.to_string(),
-        num_retries: uint32(site.max_attempts.saturating_sub(1)),
+        num_retries: uint32(deployment.max_attempts.saturating_sub(1)),
         per_try_timeout,
         retry_host_predicate: vec![previous_hosts_predicate()],
-        host_selection_retry_max_attempts: site.max_attempts as i64,
+        host_selection_retry_max_attempts: deployment.max_attempts as i64,
         ..Default::default()
     }
 }
--- a/crates/control-plane/src/endpoint_table.rs
+++ b/crates/control-plane/src/endpoint_table.rs
@@ -2,7 +2,7 @@
 //!
 //! The balancer is the same as in a router; the table itself makes no decisions.
 
-use crate::site_settings::SiteSettings;
+use crate::deployment_settings::DeploymentSettings;
 use balancer::{
     Actions, Balancer, Completion, Endpoint, EndpointHealth, EndpointUpdate, Events, LoadReport, Micros,
     NodeId, QueryId, ShardRequestId,
@@ -106,13 +106,13 @@
 
     /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed.
     pub fn update(
-        &mut self, now: Micros, site: &SiteSettings, list: &Json, update: EndpointUpdate,
+        &mut self, now: Micros, deployment: &DeploymentSettings, list: &Json, update: EndpointUpdate,
         actions: &mut RequestedActions,
     ) {
         self.balancer.endpoint_update_started(now, update);
         for entry in list["members"].as_array().map_or(&[][..], Vec::as_slice) {
             match self.parse_entry(entry) {
-                Some(entry) => self.update_entry(now, site, &entry, update),
+                Some(entry) => self.update_entry(now, deployment, &entry, update),
                 None => self.unusable_entries += 1,
             }
         }
@@ -129,13 +129,14 @@
     }
 
     fn update_entry(
-        &mut self, now: Micros, site: &SiteSettings, entry: &EndpointEntry, update: EndpointUpdate,
+        &mut self, now: Micros, deployment: &DeploymentSettings, entry: &EndpointEntry,
+        update: EndpointUpdate,
     ) {
         let index = self.ids.intern(entry.id.to_string());
         if self.records.len() <= index {
             self.records.resize(index + 1, EndpointRecord::default());
         }
-        let (zone, address) = (site.zone_index(entry.zone), entry.address.parse().ok());
+        let (zone, address) = (deployment.zone_index(entry.zone), entry.address.parse().ok());
         self.unusable_entries += address.is_none() as u64;
         let start = self.start_times.convert(now, entry.reported_start, self.records[index].start);
         let replica_set = entry.replica_set;
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -24,6 +24,7 @@
 mod capacity_ledger;
 mod codec;
 mod control_plane;
+mod deployment_settings;
 mod desired_state;
 mod discovery_watch;
 mod drain_tracker;
@@ -39,7 +40,6 @@
 mod resource_cache;
 mod server;
 mod session;
-mod site_settings;
 mod tls;
 
 pub use control_plane::{
--- a/crates/control-plane/src/options.rs
+++ b/crates/control-plane/src/options.rs
@@ -45,7 +45,7 @@
     pub expected_proxies: u32,
     /// Time for which the grants of a disconnected proxy stay reserved; after a start of the control plane, time for
     /// which proxies that have not reconnected are assumed to have grants from before.
-    pub hold: Micros,
+    pub grant_hold: Micros,
     /// Time after which the stream of an unanswered response is closed.
     pub answer_timeout: Micros,
     /// Maximum number of proxies.
@@ -61,7 +61,7 @@
     pub fn read(section: &mut Section) -> Result<Options, ConfigError> {
         let options = Options {
             lease: interval(section, "lease", Duration::ZERO, MIN_LEASE_AND_TIMEOUT)?,
-            hold: interval(section, "hold", Duration::from_secs(15), Duration::ZERO)?,
+            grant_hold: interval(section, "hold", Duration::from_secs(15), Duration::ZERO)?,
             answer_timeout: interval(
                 section,
                 "answer_within",
--- a/crates/control-plane/src/resource_cache.rs
+++ b/crates/control-plane/src/resource_cache.rs
@@ -1,10 +1,10 @@
 //! Cache of the encoded resources of the current desired state, shared by all proxies that need the same ones.
 
+use crate::deployment_settings::DeploymentSettings;
 use crate::desired_state::{DesiredState, is_node_cluster};
 use crate::encode;
 use crate::options::Options;
 use crate::resource::{Resource, ResourceSnapshot, ResourceType};
-use crate::site_settings::SiteSettings;
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -26,7 +26,7 @@
     /// Grants of constrained nodes; none for nodes of which the proxy has no share.
     pub constrained: Vec<ConstrainedGrant>,
     /// Clusters of constrained nodes that the proxy has and should stop using.
-    pub leaving: Vec<String>,
+    pub revoked_clusters: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -65,7 +65,7 @@
     }
 
     /// Switches from the desired state `previous` to `state`. Keeps the resources whose inputs are equal in both.
-    pub fn retain(&mut self, previous: &DesiredState, state: &DesiredState) {
+    pub fn switch_desired_state(&mut self, previous: &DesiredState, state: &DesiredState) {
         self.generation = state.generation;
         self.replica_set_endpoints
             .retain(|&(index, _), _| previous.replica_sets.get(index) == state.replica_sets.get(index));
@@ -79,25 +79,25 @@
 
     /// Returns all resources of a proxy with these grants, encoding those that are not cached.
     pub fn snapshot(
-        &mut self, site: &SiteSettings, state: &DesiredState, grants: &ProxyGrants,
+        &mut self, deployment: &DeploymentSettings, state: &DesiredState, grants: &ProxyGrants,
     ) -> ResourceSnapshot {
         let mut snapshot = ResourceSnapshot::default();
         for (index, &max_requests) in grants.replica_sets.iter().enumerate() {
-            let cluster = self.cluster(site, state, &state.cluster_names[index], max_requests);
+            let cluster = self.cluster(deployment, state, &state.cluster_names[index], max_requests);
             snapshot.insert(ResourceType::Cluster, cluster);
             let endpoints = self.replica_set_endpoints(state, index, grants.zone);
             snapshot.insert(ResourceType::Endpoints, endpoints);
         }
         for grant in &grants.constrained {
-            let cluster = self.cluster(site, state, &grant.cluster, grant.max_requests);
+            let cluster = self.cluster(deployment, state, &grant.cluster, grant.max_requests);
             snapshot.insert(ResourceType::Cluster, cluster);
             snapshot.insert(ResourceType::Endpoints, self.constrained_endpoints(state, &grant.cluster));
         }
-        for cluster in &grants.leaving {
+        for cluster in &grants.revoked_clusters {
             snapshot.insert(ResourceType::Endpoints, self.constrained_endpoints(state, cluster));
         }
         let constrained = grants.constrained.iter().map(|grant| grant.cluster.clone()).collect();
-        snapshot.insert(ResourceType::Route, self.routes(site, state, constrained));
+        snapshot.insert(ResourceType::Route, self.routes(deployment, state, constrained));
         for listener in &self.listeners {
             snapshot.insert(ResourceType::Listener, listener.clone());
         }
@@ -105,13 +105,13 @@
     }
 
     fn cluster(
-        &mut self, site: &SiteSettings, state: &DesiredState, name: &str, max_requests: u32,
+        &mut self, deployment: &DeploymentSettings, state: &DesiredState, name: &str, max_requests: u32,
     ) -> Arc<Resource> {
         let proxies = state.proxies.total;
         let key = ClusterKey { name: name.to_string(), max_requests, proxies };
         let generation = self.generation;
         let encode = || {
-            let body = encode::cluster(site, name, max_requests, proxies);
+            let body = encode::cluster(deployment, name, max_requests, proxies);
             Arc::new(Resource { max_requests, ..Resource::new(name, body, generation) })
         };
         self.clusters.entry(key).or_insert_with(encode).clone()
@@ -141,12 +141,12 @@
     }
 
     fn routes(
-        &mut self, site: &SiteSettings, state: &DesiredState, constrained: Vec<String>,
+        &mut self, deployment: &DeploymentSettings, state: &DesiredState, constrained: Vec<String>,
     ) -> Arc<Resource> {
         if let Some(routes) = self.routes.get(&constrained) {
             return routes.clone();
         }
-        let routes = Arc::new(encode::routes(site, state, &constrained));
+        let routes = Arc::new(encode::routes(deployment, state, &constrained));
         self.routes.insert(constrained, routes.clone());
         routes
     }
--- a/crates/control-plane/src/session/mod.rs
+++ b/crates/control-plane/src/session/mod.rs
@@ -103,13 +103,13 @@
 
     /// Whether the proxy may still have the resource from its previous stream. False once it has requested the
     /// type on this stream.
-    pub fn had_before(&self, resource_type: ResourceType, name: &str) -> bool {
+    pub fn had_on_previous_stream(&self, resource_type: ResourceType, name: &str) -> bool {
         !self.has_requested(resource_type)
             && self.previous_versions[resource_type as usize].contains_key(name)
     }
 
     /// Time at which the oldest unanswered response was sent; `None` if all are answered.
-    pub fn oldest_pending(&self) -> Option<Micros> {
+    pub fn oldest_pending_sent_at(&self) -> Option<Micros> {
         let oldest = self.subscriptions.iter().filter_map(|subscription| subscription.pending.front());
         oldest.map(|response| response.sent_at).min()
     }
--- a/crates/control-plane/tests/loopback/main.rs
+++ b/crates/control-plane/tests/loopback/main.rs
@@ -30,14 +30,14 @@
     };
     let proxies: Vec<_> = (0..24).map(|index| server.start_proxy(script(index))).collect();
     for proxy in &proxies {
-        proxy.until("a complete view", |view| view.is_complete() && view.uses(address(5))).await;
+        proxy.wait_for_view("a complete view", |view| view.is_complete() && view.uses(address(5))).await;
     }
     // Drains a fifth of the nodes, one after the other.
     for node in 0..5 {
         let drained_at = Instant::now();
         drain(&discovery, node, 4);
         for proxy in &proxies {
-            proxy.until("the drain", |view| !view.uses(address(node))).await;
+            proxy.wait_for_view("the drain", |view| !view.uses(address(node))).await;
         }
         assert!(
             drained_at.elapsed() < DRAIN_GRACE,
@@ -45,7 +45,7 @@
             drained_at.elapsed()
         );
     }
-    assert!(proxies.iter().all(|proxy| proxy.view().gaps.is_empty()));
+    assert!(proxies.iter().all(|proxy| proxy.view().unresolved_clusters.is_empty()));
     let metrics = server.metrics().await;
     assert!(
         metrics.contains("application/openmetrics-text") && metrics.contains("proxies 24\n"),
@@ -75,7 +75,7 @@
     discovery.set_down(false);
     drain(&discovery, 3, 4);
     for proxy in &proxies {
-        proxy.until("the drain", |view| !view.uses(address(3))).await;
+        proxy.wait_for_view("the drain", |view| !view.uses(address(3))).await;
     }
     for _ in 0..3 {
         let metrics = server.metrics().await;
@@ -95,8 +95,8 @@
         .collect();
     drain(&discovery, 4, 4);
     for (before, after) in proxies.iter().zip(&reconnected) {
-        let view = after.until("the next drain", |view| !view.uses(address(4))).await;
-        let messages = view.log[before.view().log.len()..].iter();
+        let view = after.wait_for_view("the next drain", |view| !view.uses(address(4))).await;
+        let messages = view.received_responses[before.view().received_responses.len()..].iter();
         let assignments = messages.filter(|(type_url, _)| type_url.ends_with("Assignment"));
         let endpoints = assignments.flat_map(|(_, names)| names);
         // Nodes 3 and 4 hold the shards of replica sets 2, 3 and 0; the endpoints of replica set 1 did not change.
@@ -114,9 +114,9 @@
     let script = |index| Script::new(&format!("p{index}"), "east", true);
     let proxies: Vec<_> = (0..3).map(|index| server.start_proxy(script(index))).collect();
     wait_for_complete_views(&proxies).await;
-    let failed = EndpointLoad { at: address(2), succeeded: 0, errors: 40, in_progress: 0, issued: 40 };
-    let succeeded = EndpointLoad { succeeded: 40, errors: 0, ..failed };
-    let other = EndpointLoad { at: address(1), in_progress: 1, ..succeeded };
+    let failed = EndpointLoad { address: address(2), succeeded: 0, failed: 40, in_progress: 0, issued: 40 };
+    let succeeded = EndpointLoad { succeeded: 40, failed: 0, ..failed };
+    let other = EndpointLoad { address: address(1), in_progress: 1, ..succeeded };
     let mut reporters = Vec::new();
     for (index, proxy) in proxies.iter().enumerate() {
         let loads = vec![if index == 0 { succeeded } else { failed }, other];
@@ -126,7 +126,7 @@
         reporter.send(1, vec![failed]).await;
     }
     for proxy in &proxies {
-        let view = proxy.until("the ejection", |view| !view.uses(address(2))).await;
+        let view = proxy.wait_for_view("the ejection", |view| !view.uses(address(2))).await;
         assert!(view.uses(address(1)));
     }
     server.stop().await;
@@ -143,7 +143,7 @@
     let proxy = server.start_proxy(Script::new("p", "east", true));
     let unreachable = [address(1), address(2)];
     let is_ejected = |view: &test_servers::View| !unreachable.iter().any(|&node| view.uses(node));
-    proxy.until("the ejection", |view| view.uses(reachable) && is_ejected(view)).await;
+    proxy.wait_for_view("the ejection", |view| view.uses(reachable) && is_ejected(view)).await;
     server.stop().await;
 }
 
@@ -152,7 +152,7 @@
     let discovery = start_discovery(8, 4);
     let server = RunningServer::start(&discovery, 4, "").await;
     let proxy = server.start_proxy(Script::new("steady", "east", true));
-    proxy.until("a complete view", |view| view.is_complete()).await;
+    proxy.wait_for_view("a complete view", |view| view.is_complete()).await;
     let connect = || TcpStream::connect(server.address).expect("a connection");
     let mut random = fastrand::Rng::with_seed(5);
     let idle_connections: Vec<TcpStream> = (0..50).map(|_| connect()).collect();
@@ -173,7 +173,7 @@
         assert!(!matches!(status.code(), tonic::Code::Ok), "{status:?}");
     }
     drain(&discovery, 1, 4);
-    proxy.until("the drain", |view| !view.uses(address(1))).await;
+    proxy.wait_for_view("the drain", |view| !view.uses(address(1))).await;
     drop(idle_connections);
     server.stop().await;
 }
@@ -257,7 +257,7 @@
     let discovery = start_discovery(8, 4);
     let server = RunningServer::start(&discovery, 4, &option_lines).await;
     let proxy = server.start_proxy(original.script("p"));
-    proxy.until("a complete view", |view| view.is_complete()).await;
+    proxy.wait_for_view("a complete view", |view| view.is_complete()).await;
     // Proxy ID `q` is not in the certificate.
     let status = Proxy::new(server.address, original.script("q")).run(None).await;
     assert_eq!(status.code(), tonic::Code::PermissionDenied);
@@ -278,7 +278,9 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     drain(&discovery, 1, 4);
-    proxy.until("the drain, on the connection from before the change", |view| !view.uses(address(1))).await;
+    proxy
+        .wait_for_view("the drain, on the connection from before the change", |view| !view.uses(address(1)))
+        .await;
     server.stop().await;
     std::fs::remove_dir_all(&directory).expect("the directory is removed");
 }
--- a/crates/control-plane/tests/loopback/running_server.rs
+++ b/crates/control-plane/tests/loopback/running_server.rs
@@ -85,7 +85,7 @@
 /// Waits until each proxy has a complete view.
 pub async fn wait_for_complete_views(proxies: &[Arc<Proxy>]) {
     for proxy in proxies {
-        proxy.until("a complete view", |view| view.is_complete()).await;
+        proxy.wait_for_view("a complete view", |view| view.is_complete()).await;
     }
 }
 
--- a/crates/control-plane/tests/machine/responses.rs
+++ b/crates/control-plane/tests/machine/responses.rs
@@ -35,7 +35,7 @@
     for delta in [false, true] {
         let mut simulation = Simulation::new(12, 4, 2, "");
         let mut script = Script::new("grpc", "north", delta);
-        script.proxyless = Some("yewpier".to_string());
+        script.proxyless_listener = Some("yewpier".to_string());
         let client = simulation.add_scripted_proxy(script, 0);
         simulation.advance(SECOND);
         let view = &simulation.proxies[client].xds_client.view;
--- a/crates/control-plane/tests/machine/simulation.rs
+++ b/crates/control-plane/tests/machine/simulation.rs
@@ -353,7 +353,7 @@
 
     /// Returns the number of responses that all proxies together have received.
     pub fn response_count(&self) -> usize {
-        self.proxies.iter().map(|proxy| proxy.xds_client.view.log.len()).sum()
+        self.proxies.iter().map(|proxy| proxy.xds_client.view.received_responses.len()).sum()
     }
 
     /// Returns the value of a metric; `name` lacks the prefix `yewpier_control_`.
@@ -368,22 +368,23 @@
 /// Checks that no response has left a proxy with a route to a cluster without endpoints.
 fn check_routed_clusters(xds_client: &XdsClient) {
     let (script, view) = (&xds_client.script, &xds_client.view);
-    let last_responses = &view.log[view.log.len().saturating_sub(MAX_SHOWN_RESPONSES)..];
+    let last_responses =
+        &view.received_responses[view.received_responses.len().saturating_sub(MAX_SHOWN_RESPONSES)..];
     assert!(
-        view.gaps.is_empty(),
+        view.unresolved_clusters.is_empty(),
         "proxy {}, delta {}: routes to clusters without endpoints: {:?}; last responses: {last_responses:?}",
         script.id,
         script.delta,
-        view.gaps
+        view.unresolved_clusters
     );
 }
 
 fn delta_request(request: DiscoveryRequest) -> DeltaRequest {
     DeltaRequest {
-        type_url: request.url,
+        type_url: request.type_url,
         subscribe: request.subscribe,
         unsubscribe: request.unsubscribe,
-        initial_versions: request.initial.into_iter().collect(),
+        initial_versions: request.initial_resource_versions.into_iter().collect(),
         nonce: request.nonce,
         rejection: request.rejection,
     }
@@ -391,7 +392,7 @@
 
 fn state_of_the_world_request(request: DiscoveryRequest) -> StateOfTheWorldRequest {
     StateOfTheWorldRequest {
-        type_url: request.url,
+        type_url: request.type_url,
         version: request.version,
         nonce: request.nonce,
         resource_names: request.names,
@@ -401,8 +402,8 @@
 
 /// Converts a response to the form in which a proxy handles it.
 fn to_discovery_response(response: &Response) -> DiscoveryResponse {
-    let url = response.resource_type.type_url();
-    let content = |resource: &Resource| Any { type_url: url.clone(), value: resource.body.clone() };
+    let type_url = response.resource_type.type_url();
+    let content = |resource: &Resource| Any { type_url: type_url.clone(), value: resource.body.clone() };
     let resources = response.resources.iter().map(|resource| ReceivedResource {
         name: resource.name.clone(),
         version: resource.version.clone(),
@@ -413,6 +414,6 @@
         version: response.version.clone(),
         nonce: response.nonce.clone(),
         removed: response.removed.clone(),
-        url: url.clone(),
+        type_url: type_url.clone(),
     }
 }
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -29,7 +29,7 @@
     member(&node_id(node), &address(node).to_string(), zone, node % replica_sets, state, started_at_ms)
 }
 
-/// Returns the site settings. They have one service class of each kind of idempotency.
+/// Returns the deployment settings. They have one service class of each kind of idempotency.
 pub fn settings(replica_sets: usize, replica_sets_per_shard: usize) -> Json {
     json!({"tickNs": 5_000_000, "registryMode": "push", "zones": ZONES, "instances": 4,
         "familyInfo": {"sets": replica_sets, "shards": 2 * replica_sets, "width": replica_sets_per_shard,
--- a/crates/test-servers/src/load_reporter.rs
+++ b/crates/test-servers/src/load_reporter.rs
@@ -20,11 +20,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointLoad {
     /// The endpoint's address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Requests that succeeded during the interval.
     pub succeeded: u64,
     /// Requests that failed during the interval.
-    pub errors: u64,
+    pub failed: u64,
     /// Requests in flight at the end of the interval.
     pub in_progress: u64,
     /// Requests that were sent during the interval.
@@ -76,9 +76,9 @@
 
 fn endpoint_stats(load: EndpointLoad) -> eds::UpstreamEndpointStats {
     eds::UpstreamEndpointStats {
-        address: Some(envoy_address(load.at)),
+        address: Some(envoy_address(load.address)),
         total_successful_requests: load.succeeded,
-        total_error_requests: load.errors,
+        total_error_requests: load.failed,
         total_requests_in_progress: load.in_progress,
         total_issued_requests: load.issued,
         ..Default::default()
--- a/crates/test-servers/src/proxy.rs
+++ b/crates/test-servers/src/proxy.rs
@@ -58,7 +58,7 @@
     }
 
     /// Waits until the view satisfies `condition` and returns the view. Panics with `expectation` after 30 seconds.
-    pub async fn until(&self, expectation: &str, condition: impl Fn(&View) -> bool) -> View {
+    pub async fn wait_for_view(&self, expectation: &str, condition: impl Fn(&View) -> bool) -> View {
         self.wait(expectation, condition).await;
         self.view()
     }
--- a/crates/test-servers/src/proxy_view.rs
+++ b/crates/test-servers/src/proxy_view.rs
@@ -48,7 +48,7 @@
     /// has an empty resource name.
     pub versions: BTreeMap<(String, String), String>,
     /// For each response in order of arrival, its type URL and the names of its resources that have content.
-    pub log: Vec<(String, Vec<String>)>,
+    pub received_responses: Vec<(String, Vec<String>)>,
     /// The total size of the resources received, in bytes.
     pub bytes: usize,
     /// The number of responses that the proxy rejected.
@@ -57,7 +57,7 @@
     pub heartbeats: usize,
     /// Clusters that a route led to and that were missing, or had no endpoint list, after a response was handled. Not
     /// recorded for proxyless clients.
-    pub gaps: Vec<String>,
+    pub unresolved_clusters: Vec<String>,
 }
 
 impl View {
--- a/crates/test-servers/src/script.rs
+++ b/crates/test-servers/src/script.rs
@@ -18,7 +18,7 @@
     pub delta: bool,
     /// The listener that a proxyless gRPC client subscribes to first; such a client subscribes to all resources by
     /// name. `None` for a proxy, which subscribes to clusters and listeners by wildcard.
-    pub proxyless: Option<String>,
+    pub proxyless_listener: Option<String>,
     /// The simulated network latency of each response.
     pub delay: Duration,
     /// Decides which responses the proxy rejects; `None` if it accepts all.
@@ -47,7 +47,7 @@
             id: id.to_string(),
             zone: zone.to_string(),
             delta,
-            proxyless: None,
+            proxyless_listener: None,
             delay: Duration::ZERO,
             reject: None,
             tls: None,
--- a/crates/test-servers/src/xds_client.rs
+++ b/crates/test-servers/src/xds_client.rs
@@ -29,12 +29,14 @@
     /// Returns the names of a type to subscribe to, which depend on the resources received so far. Empty for a wildcard
     /// subscription.
     fn names_to_subscribe(&self, resource_type: ResourceType) -> BTreeSet<String> {
-        let (view, proxyless) = (&self.view, &self.script.proxyless);
+        let (view, proxyless_listener) = (&self.view, &self.script.proxyless_listener);
         match resource_type {
-            ResourceType::Cluster if proxyless.is_some() => view.routed_clusters().cloned().collect(),
+            ResourceType::Cluster if proxyless_listener.is_some() => {
+                view.routed_clusters().cloned().collect()
+            }
             ResourceType::Cluster => BTreeSet::new(),
             ResourceType::LoadAssignment => view.clusters.keys().cloned().collect(),
-            ResourceType::Listener => proxyless.iter().cloned().collect(),
+            ResourceType::Listener => proxyless_listener.iter().cloned().collect(),
             ResourceType::RouteConfiguration if view.listeners.is_empty() => BTreeSet::new(),
             ResourceType::RouteConfiguration => BTreeSet::from([ROUTE_CONFIGURATION_NAME.to_string()]),
         }
@@ -44,26 +46,27 @@
     /// listener.
     fn subscription_order(&self) -> [ResourceType; 4] {
         let mut types = ResourceType::ALL;
-        if self.script.proxyless.is_some() {
+        if self.script.proxyless_listener.is_some() {
             types.rotate_left(2);
         }
         types
     }
 
     fn is_wildcard(&self, resource_type: ResourceType) -> bool {
-        self.script.proxyless.is_none()
+        self.script.proxyless_listener.is_none()
             && matches!(resource_type, ResourceType::Cluster | ResourceType::Listener)
     }
 
     /// Returns the version of a type that was accepted last on a state-of-the-world stream; empty if there is none.
-    fn accepted_version(&self, url: &str) -> String {
-        self.view.versions.get(&(url.to_string(), String::new())).cloned().unwrap_or_default()
+    fn accepted_version(&self, type_url: &str) -> String {
+        self.view.versions.get(&(type_url.to_string(), String::new())).cloned().unwrap_or_default()
     }
 
     /// Returns the names and versions of a type's resources from an incremental stream.
-    fn resource_versions(&self, url: &str) -> Vec<(String, String)> {
+    fn resource_versions(&self, type_url: &str) -> Vec<(String, String)> {
         let versions = self.view.versions.iter();
-        let of_type = versions.filter(|((type_url, name), _)| type_url == url && !name.is_empty());
+        let of_type =
+            versions.filter(|((key_type_url, name), _)| key_type_url == type_url && !name.is_empty());
         of_type.map(|((_, name), version)| (name.clone(), version.clone())).collect()
     }
 
@@ -77,17 +80,17 @@
             if wanted_names.is_empty() && !self.is_wildcard(resource_type) {
                 continue;
             }
-            let url = resource_type.type_url();
+            let type_url = resource_type.type_url();
             let names: Vec<String> = wanted_names.iter().cloned().collect();
             requests.push(DiscoveryRequest {
-                version: self.accepted_version(&url),
-                initial: self.resource_versions(&url),
+                version: self.accepted_version(&type_url),
+                initial_resource_versions: self.resource_versions(&type_url),
                 names: names.clone(),
                 subscribe: names,
-                url: url.clone(),
+                type_url: type_url.clone(),
                 ..DiscoveryRequest::default()
             });
-            self.subscribed.insert(url, wanted_names);
+            self.subscribed.insert(type_url, wanted_names);
         }
         requests
     }
@@ -97,7 +100,7 @@
     pub fn handle_response(&mut self, response: &DiscoveryResponse) -> Vec<DiscoveryRequest> {
         let with_content = response.resources.iter().filter(|resource| resource.content.is_some());
         let names: Vec<String> = with_content.map(|resource| resource.name.clone()).collect();
-        let rejection = self.script.reject.as_ref().and_then(|reject| reject(&response.url, &names));
+        let rejection = self.script.reject.as_ref().and_then(|reject| reject(&response.type_url, &names));
         self.view.bytes += resource_bytes(response);
         self.view.heartbeats += response.resources.len() - names.len();
         if rejection.is_some() {
@@ -105,22 +108,22 @@
         } else {
             self.apply(response, &names);
         }
-        self.view.log.push((response.url.clone(), names));
-        if self.script.proxyless.is_none() {
-            self.view.gaps.extend(self.view.first_unresolved_cluster());
+        self.view.received_responses.push((response.type_url.clone(), names));
+        if self.script.proxyless_listener.is_none() {
+            self.view.unresolved_clusters.extend(self.view.first_unresolved_cluster());
         }
-        self.nonces.insert(response.url.clone(), response.nonce.clone());
+        self.nonces.insert(response.type_url.clone(), response.nonce.clone());
 
         let mut requests = vec![self.ack_or_nack(response, rejection)];
         for resource_type in self.subscription_order() {
-            requests.extend(self.changed_subscription(resource_type, &response.url));
+            requests.extend(self.changed_subscription(resource_type, &response.type_url));
         }
         requests
     }
 
     /// Applies an accepted response to the view; `names` are those of the resources with content.
     fn apply(&mut self, response: &DiscoveryResponse, names: &[String]) {
-        let resource_type = ResourceType::from_type_url(&response.url);
+        let resource_type = ResourceType::from_type_url(&response.type_url);
         if resource_type.is_listed_in_full() && !self.script.delta {
             for name in self.view.names(resource_type) {
                 if !names.contains(&name) {
@@ -130,11 +133,11 @@
         }
         for resource in &response.resources {
             if let Some(any) = &resource.content {
-                assert_eq!((name_of(any), &any.type_url), (resource.name.clone(), &response.url));
+                assert_eq!((name_of(any), &any.type_url), (resource.name.clone(), &response.type_url));
                 self.view.insert(any);
             }
             if self.script.delta {
-                let key = (response.url.clone(), resource.name.clone());
+                let key = (response.type_url.clone(), resource.name.clone());
                 self.view.versions.insert(key, resource.version.clone());
             }
         }
@@ -142,17 +145,20 @@
             self.view.remove(resource_type, name);
         }
         if !self.script.delta {
-            let key = (response.url.clone(), String::new());
+            let key = (response.type_url.clone(), String::new());
             self.view.versions.insert(key, response.version.clone());
         }
     }
 
     fn ack_or_nack(&self, response: &DiscoveryResponse, rejection: Option<String>) -> DiscoveryRequest {
         DiscoveryRequest {
-            url: response.url.clone(),
-            version: self.accepted_version(&response.url),
+            type_url: response.type_url.clone(),
+            version: self.accepted_version(&response.type_url),
             nonce: response.nonce.clone(),
-            names: self.names_to_subscribe(ResourceType::from_type_url(&response.url)).into_iter().collect(),
+            names: self
+                .names_to_subscribe(ResourceType::from_type_url(&response.type_url))
+                .into_iter()
+                .collect(),
             rejection,
             ..DiscoveryRequest::default()
         }
@@ -164,28 +170,28 @@
     fn changed_subscription(
         &mut self, resource_type: ResourceType, response_url: &str,
     ) -> Option<DiscoveryRequest> {
-        let url = resource_type.type_url();
+        let type_url = resource_type.type_url();
         let wanted_names = self.names_to_subscribe(resource_type);
-        let is_subscribed = self.subscribed.contains_key(&url);
-        let previous_names = self.subscribed.get(&url).cloned().unwrap_or_default();
+        let is_subscribed = self.subscribed.contains_key(&type_url);
+        let previous_names = self.subscribed.get(&type_url).cloned().unwrap_or_default();
         if previous_names == wanted_names {
             return None;
         }
-        self.subscribed.insert(url.clone(), wanted_names.clone());
-        if url == response_url && !self.script.delta {
+        self.subscribed.insert(type_url.clone(), wanted_names.clone());
+        if type_url == response_url && !self.script.delta {
             return None;
         }
         let nonce = match self.script.delta {
             true => String::new(),
-            false => self.nonces.get(&url).cloned().unwrap_or_default(),
+            false => self.nonces.get(&type_url).cloned().unwrap_or_default(),
         };
         Some(DiscoveryRequest {
-            version: if is_subscribed { self.accepted_version(&url) } else { String::new() },
+            version: if is_subscribed { self.accepted_version(&type_url) } else { String::new() },
             nonce,
             subscribe: wanted_names.difference(&previous_names).cloned().collect(),
             unsubscribe: previous_names.difference(&wanted_names).cloned().collect(),
             names: wanted_names.into_iter().collect(),
-            url,
+            type_url,
             ..DiscoveryRequest::default()
         })
     }
--- a/crates/test-servers/src/xds_messages.rs
+++ b/crates/test-servers/src/xds_messages.rs
@@ -12,11 +12,11 @@
 const INVALID_ARGUMENT: i32 = tonic::Code::InvalidArgument as i32;
 
 /// A discovery request. A state-of-the-world request uses `version` and `names`; an incremental request uses
-/// `subscribe`, `unsubscribe` and `initial`.
+/// `subscribe`, `unsubscribe` and `initial_resource_versions`.
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryRequest {
     /// The type URL of the resources.
-    pub url: String,
+    pub type_url: String,
     /// The version accepted last; empty if there is none.
     pub version: String,
     /// The nonce of the response that the request refers to; empty if there is none.
@@ -28,7 +28,7 @@
     /// The resource names to unsubscribe from.
     pub unsubscribe: Vec<String>,
     /// The names and versions of the resources that the proxy has from an earlier stream.
-    pub initial: Vec<(String, String)>,
+    pub initial_resource_versions: Vec<(String, String)>,
     /// The reason for which the proxy rejected the response; `None` unless the request is a NACK.
     pub rejection: Option<String>,
 }
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct DiscoveryResponse {
     /// The type URL of the resources.
-    pub url: String,
+    pub type_url: String,
     /// The version of a state-of-the-world response; empty in an incremental one.
     pub version: String,
     /// The nonce that the ACK or NACK repeats.
@@ -80,7 +80,7 @@
             version_info: request.version,
             response_nonce: request.nonce,
             error_detail: error_detail(request.rejection),
-            type_url: request.url,
+            type_url: request.type_url,
             resource_names: request.names,
             ..Default::default()
         }
@@ -93,10 +93,10 @@
             node,
             response_nonce: request.nonce,
             error_detail: error_detail(request.rejection),
-            type_url: request.url,
+            type_url: request.type_url,
             resource_names_subscribe: request.subscribe,
             resource_names_unsubscribe: request.unsubscribe,
-            initial_resource_versions: request.initial.into_iter().collect(),
+            initial_resource_versions: request.initial_resource_versions.into_iter().collect(),
             ..Default::default()
         }
     }
@@ -105,7 +105,7 @@
 impl WireResponse for ads::DiscoveryResponse {
     fn into_response(self) -> DiscoveryResponse {
         DiscoveryResponse {
-            url: self.type_url,
+            type_url: self.type_url,
             version: self.version_info,
             nonce: self.nonce,
             resources: self.resources.into_iter().map(unwrap_resource).collect(),
@@ -126,7 +126,7 @@
 impl WireResponse for ads::DeltaDiscoveryResponse {
     fn into_response(self) -> DiscoveryResponse {
         DiscoveryResponse {
-            url: self.type_url,
+            type_url: self.type_url,
             version: String::new(),
             nonce: self.nonce,
             resources: self.resources.into_iter().map(received_resource).collect(),
