--- a/crates/control-plane/src/control_plane/maintenance.rs
+++ b/crates/control-plane/src/control_plane/maintenance.rs
@@ -7,8 +7,8 @@
 
 /// Time after which a stream without a first message is closed.
 const FIRST_MESSAGE_TIMEOUT: Micros = 5_000_000;
-/// A lease is renewed once one part in this many of its duration has passed.
-const LEASE_RENEWAL_FRACTION: Micros = 3;
+/// A lease is renewed once its duration divided by this value has passed.
+const LEASE_RENEWAL_DIVISOR: Micros = 3;
 
 impl ControlPlane {
     /// Passes the load reports of the last interval to the balancer.
@@ -33,8 +33,8 @@
         self.effects.extend(self.endpoints.addresses().map(|(address, _)| Effect::ProbeNode(address)));
     }
 
-    /// Removes proxies that have been disconnected for longer than both `grant_hold` and the lease, and releases their
-    /// grants.
+    /// Removes proxies that have been disconnected for longer than both `grant_hold` and the lease and have no open
+    /// load reporting stream, and releases their grants.
     pub(super) fn remove_expired_proxies(&mut self, now: Micros) {
         let retention = self.options.grant_hold.max(self.options.lease);
         let mut expired = Vec::new();
@@ -83,7 +83,7 @@
         if lease == 0 {
             return;
         }
-        let is_due = |renewed_at: Micros| now - renewed_at >= lease / LEASE_RENEWAL_FRACTION;
+        let is_due = |renewed_at: Micros| now - renewed_at >= lease / LEASE_RENEWAL_DIVISOR;
         let due = self.proxies.iter().filter(|(_, proxy)| is_due(proxy.lease_renewed_at));
         let due: Vec<ProxyId> = due.map(|(&id, _)| id).collect();
         for id in due {
--- a/crates/control-plane/src/control_plane/mod.rs
+++ b/crates/control-plane/src/control_plane/mod.rs
@@ -64,7 +64,7 @@
         /// The reason, from which the gRPC status of the stream is made.
         error: StreamError,
     },
-    /// Watch the endpoint list of discovery. Replaces a watch in progress.
+    /// Watch the endpoint list of discovery. If a watch is in progress, the next one starts once it has ended.
     WatchEndpoints,
     /// Try to connect to a data node.
     ProbeNode(SocketAddr),
@@ -162,7 +162,8 @@
         self.deployment.probe_timeout
     }
 
-    /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed.
+    /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed or nothing has
+    /// changed since the requested revision.
     pub fn endpoint_update(&mut self, now: Micros, list: &Json, update: EndpointUpdate) {
         let mut actions = RequestedActions::default();
         self.endpoints.update(now, &self.deployment, list, update, &mut actions);
@@ -210,8 +211,8 @@
         self.decide(now, RequestedActions::default());
         self.renew_leases(now);
         self.push_to_partially_granted(now);
-        let grace_started = now - self.deployment.drain_grace;
-        self.metrics.drains_past_grace.set(self.drains.unacknowledged_count(grace_started) as i64);
+        let started_by = now - self.deployment.drain_grace;
+        self.metrics.drains_past_grace.set(self.drains.unacknowledged_count(started_by) as i64);
         self.check_invariants();
     }
 
--- a/crates/control-plane/src/control_plane/proxy_state.rs
+++ b/crates/control-plane/src/control_plane/proxy_state.rs
@@ -18,7 +18,7 @@
 /// The proxy IDs that a stream is authorized to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AuthorizedNames {
-    /// Any ID, because the client presented no certificate.
+    /// Any ID, because the connection does not use TLS.
     Any,
     /// The names in the client's certificate.
     Only(Arc<Vec<String>>),
@@ -73,7 +73,7 @@
     pub zone: usize,
     pub connection: ProxyConnection,
     pub session: DiscoverySession,
-    pub grants: GrantStatus,
+    pub grant_status: GrantStatus,
     /// Reused until the desired state changes; `None` until the capacity ledger contains all grants of a snapshot.
     pub snapshot: Option<CachedSnapshot>,
     /// Time at which the lease of the proxy's endpoints was last renewed.
@@ -89,7 +89,8 @@
         }
     }
 
-    /// Returns the time at which the last discovery stream ended; `None` while the proxy is connected.
+    /// Returns the time at which the last discovery stream ended or, for a proxy that has only reported load, at which
+    /// the proxy was added; `None` while the proxy is connected.
     pub fn disconnected_at(&self) -> Option<Micros> {
         match self.connection {
             ProxyConnection::Connected(_) => None,
--- a/crates/control-plane/src/control_plane/push.rs
+++ b/crates/control-plane/src/control_plane/push.rs
@@ -21,7 +21,7 @@
 
     /// Pushes resources to the proxies that have been offered less than their fair share.
     pub(super) fn push_to_partially_granted(&mut self, now: Micros) {
-        let partial = self.proxies.iter().filter(|(_, proxy)| proxy.grants == GrantStatus::Partial);
+        let partial = self.proxies.iter().filter(|(_, proxy)| proxy.grant_status == GrantStatus::Partial);
         let partial: Vec<ProxyId> = partial.map(|(&id, _)| id).collect();
         for proxy in partial {
             self.push(now, proxy);
@@ -35,7 +35,7 @@
         let snapshot = self.snapshot(now, id);
         let urgency = if self.drains.is_waiting_for(id) { Urgency::DrainPending } else { Urgency::Normal };
         let Some(proxy) = self.proxies.get_mut(&id) else { return };
-        proxy.grants = snapshot.grants;
+        proxy.grant_status = snapshot.grant_status;
         if snapshot.resources.of_type(ResourceType::Route).is_empty() {
             return;
         }
--- a/crates/control-plane/src/control_plane/request.rs
+++ b/crates/control-plane/src/control_plane/request.rs
@@ -80,7 +80,8 @@
     }
 
     /// Returns the snapshot against which the first request of a resource type is compared to find the versions that
-    /// the proxy already has. Later requests are not compared and get an empty snapshot.
+    /// the proxy already has. Later requests are not compared and get an empty snapshot. Marks the session as resumed
+    /// if the first request names versions.
     fn snapshot_for_resumption(
         &mut self, now: Micros, origin: &RequestOrigin, has_versions: bool,
     ) -> Arc<ResourceSnapshot> {
--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -18,7 +18,7 @@
 /// The resources that a proxy should have now.
 pub(super) struct ProxySnapshot {
     pub resources: Arc<ResourceSnapshot>,
-    pub grants: GrantStatus,
+    pub grant_status: GrantStatus,
 }
 
 /// The grants that can be offered to a proxy now.
@@ -40,11 +40,11 @@
     /// Returns the resources that a proxy should have now, with its share of each cluster. They are empty if there is
     /// no desired state yet or the proxy must keep its current resources.
     pub(super) fn snapshot(&mut self, now: Micros, id: ProxyId) -> ProxySnapshot {
-        let empty = ProxySnapshot { resources: Arc::default(), grants: GrantStatus::Full };
+        let empty = ProxySnapshot { resources: Arc::default(), grant_status: GrantStatus::Full };
         let Some(proxy) = self.proxies.get(&id) else { return empty };
         let generation = self.desired.generation;
         if let Some(cached) = proxy.snapshot.as_ref().filter(|cached| cached.generation == generation) {
-            return ProxySnapshot { resources: cached.resources.clone(), grants: GrantStatus::Full };
+            return ProxySnapshot { resources: cached.resources.clone(), grant_status: GrantStatus::Full };
         }
         // The cached endpoint list may be older than the resources that a resumed proxy has. Until discovery has
         // sent a list, only proxies without resources get a snapshot.
@@ -60,7 +60,7 @@
         {
             proxy.snapshot = Some(CachedSnapshot { generation, resources: resources.clone() });
         }
-        ProxySnapshot { resources, grants: offer.status }
+        ProxySnapshot { resources, grant_status: offer.status }
     }
 
     /// Returns the snapshot that all proxies with these grants share.
--- a/crates/control-plane/src/control_plane/stream.rs
+++ b/crates/control-plane/src/control_plane/stream.rs
@@ -22,7 +22,7 @@
         self.metrics.streams.set(self.streams.len() as i64);
     }
 
-    /// Removes a stream that has been closed, and marks its proxy as disconnected.
+    /// Removes a stream that has been closed. Marks the proxy as disconnected if it was its discovery stream.
     pub fn stream_closed(&mut self, now: Micros, stream: StreamId) {
         let Some(closed) = self.streams.remove(&stream) else { return };
         self.metrics.streams.set(self.streams.len() as i64);
@@ -74,7 +74,8 @@
         Some(proxy)
     }
 
-    /// Checks that the ID of a proxy is valid and authorized, and that the limit on proxies is not reached.
+    /// Checks that the ID of a proxy is valid and authorized and, for a new proxy, that the limit on proxies is not
+    /// reached.
     fn authorize<'a>(
         &self, stream: &StreamState, node: Option<ProxyNode<'a>>,
     ) -> Result<ProxyNode<'a>, StreamError> {
@@ -123,7 +124,7 @@
             zone: self.deployment.zone_index(node.zone),
             connection,
             session,
-            grants: GrantStatus::Full,
+            grant_status: GrantStatus::Full,
             snapshot: None,
             lease_renewed_at: now,
         }
--- a/crates/control-plane/src/control_plane/stream_error.rs
+++ b/crates/control-plane/src/control_plane/stream_error.rs
@@ -11,16 +11,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StreamError {
     /// The limit on open streams is reached.
-    #[error("too many streams are open")]
+    #[error("too many streams are open; the limit is twice most_proxies in section [control]")]
     TooManyStreams,
     /// The limit on proxies is reached, and the proxy is not among those already registered.
-    #[error("too many proxies")]
+    #[error("too many proxies; the limit is most_proxies in section [control]")]
     TooManyProxies,
     /// The first message has no `node.id`.
     #[error("node.id is missing in the first message")]
     MissingNodeId,
     /// The proxy's ID exceeds the maximum length.
-    #[error("node.id: {length} bytes, more than {MAX_NODE_ID_LENGTH}")]
+    #[error("node.id has {length} bytes, at most {MAX_NODE_ID_LENGTH} are allowed")]
     NodeIdTooLong {
         /// Length of the ID in bytes.
         length: usize,
--- a/crates/control-plane/src/desired_state.rs
+++ b/crates/control-plane/src/desired_state.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct ReplicaSet {
     pub members: Vec<ReplicaSetMember>,
-    /// Requests that all proxies together may have in flight to the replica set.
+    /// Requests to the replica set that all proxies of this control plane together may have in flight.
     pub capacity: u32,
     /// Percentage of new requests that proxies drop.
     pub drop_percent: u32,
@@ -56,7 +56,7 @@
     pub zone: usize,
     /// Indexes of the replica sets to which the node belongs.
     pub replica_sets: Vec<usize>,
-    /// Requests that all proxies together may have in flight at the node.
+    /// Requests that all proxies of this control plane together may have in flight at the node, rounded down to a step.
     pub capacity: u32,
 }
 
@@ -148,8 +148,8 @@
         ((capacity_share / proxy_share).min(1.0) * 100.0) as u32 / PERCENT_STEP * PERCENT_STEP
     }
 
-    /// Whether the desired states differ at most in their generations and in numbers of proxies with the same divisor
-    /// of capacity.
+    /// Whether the desired states have equal replica sets, constrained nodes and divisors of capacity. Generations and
+    /// the exact numbers of proxies are not compared.
     pub fn is_equivalent(&self, other: &DesiredState) -> bool {
         self.replica_sets == other.replica_sets
             && self.constrained_nodes == other.constrained_nodes
--- a/crates/control-plane/src/discovery_watch.rs
+++ b/crates/control-plane/src/discovery_watch.rs
@@ -25,6 +25,7 @@
 /// An endpoint list in the JSON format of discovery, and the kind of update that it is.
 #[derive(Debug)]
 pub(crate) struct EndpointListUpdate {
+    /// Null if nothing has changed since the requested revision, or the watch failed.
     pub list: Json,
     pub update: EndpointUpdate,
 }
@@ -48,7 +49,7 @@
     LineTooLong,
     #[error("line is not valid JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    #[error("complete: missing or not a boolean")]
+    #[error("field 'complete' is missing or not a boolean")]
     MissingCompleteness,
     #[error("the control plane is shutting down")]
     ReceiverClosed,
--- a/crates/control-plane/src/drain_tracker.rs
+++ b/crates/control-plane/src/drain_tracker.rs
@@ -34,8 +34,8 @@
 }
 
 impl DrainTracker {
-    /// Starts to track a drain. `proxies` are those that may use endpoints that contain the node; if there are
-    /// none, the drain is complete.
+    /// Starts to track a drain, in place of an earlier drain of the node. `proxies` are those that may use endpoints
+    /// that contain the node; if there are none, the drain is complete and nothing is tracked.
     pub fn start(&mut self, node: NodeId, drain: Drain, proxies: impl Iterator<Item = ProxyId>) {
         let waiting_for: BTreeSet<ProxyId> = proxies.collect();
         if !waiting_for.is_empty() {
--- a/crates/control-plane/src/endpoint_table.rs
+++ b/crates/control-plane/src/endpoint_table.rs
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed.
+    /// Applies an endpoint update. `list` has the JSON format of discovery; null if the update failed or nothing has
+    /// changed since the requested revision.
     pub fn update(
         &mut self, now: Micros, deployment: &DeploymentSettings, list: &Json, update: EndpointUpdate,
         actions: &mut RequestedActions,
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! 1. The control plane watches discovery (`discovery_watch`) and passes each endpoint list to the balancer
 //!    (`endpoint_table`), as a router does.
-//! 2. From the endpoint health that the balancer computes follows the desired state (`desired_state`): the
+//! 2. The desired state (`desired_state`) is derived from the endpoint health that the balancer computes: the
 //!    nodes of each replica set, the number of requests that each may have in flight, and the fraction of
 //!    requests to shed.
 //! 3. The desired state is encoded as xDS resources (`encode`). Proxies that need the same resource share one
@@ -12,7 +12,7 @@
 //!    in which no route refers to a cluster without endpoints.
 //! 5. The capacity of clusters is divided among proxies (`fair_share`, `capacity_ledger`). A grant is raised
 //!    only after the proxies whose grants shrink have acknowledged that.
-//! 6. A drained node is tracked until every proxy has acknowledged that it sends the node no new requests
+//! 6. A drained node is tracked until every proxy that may use it has acknowledged endpoints without it
 //!    (`drain_tracker`).
 //! 7. Load reports of proxies are validated, aggregated (`load_reports`) and passed to the balancer.
 //!
--- a/crates/control-plane/src/options.rs
+++ b/crates/control-plane/src/options.rs
@@ -11,9 +11,9 @@
 /// Minimum interval of load reports and probes.
 const MIN_REPORT_AND_PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// Description of an integer in error messages.
-const INTEGER: &str = "a whole number";
+const INTEGER: &str = "a non-negative integer";
 /// Description of a socket address in error messages.
-const ADDRESS: &str = "an address with a port";
+const ADDRESS: &str = "an IP address with a port";
 
 /// Paths of the files for mutual TLS, in PEM format.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -43,8 +43,9 @@
     pub instances: u32,
     /// Number of proxies expected to connect after a start.
     pub expected_proxies: u32,
-    /// Time for which the grants of a disconnected proxy stay reserved; after a start of the control plane, time for
-    /// which proxies that have not reconnected are assumed to have grants from before.
+    /// Time for which the grants of a disconnected proxy stay reserved, unless the lease is longer; after a start of
+    /// the control plane, time for which proxies that have not reconnected are assumed to have grants from before. Set
+    /// by key `hold`.
     pub grant_hold: Micros,
     /// Time after which the stream of an unanswered response is closed.
     pub answer_timeout: Micros,
--- a/crates/control-plane/src/options/tests.rs
+++ b/crates/control-plane/src/options/tests.rs
@@ -5,7 +5,7 @@
 fn an_error_names_the_line_the_key_and_the_reason() {
     for (text, reason) in [
         ("listen = 192.0.2.1:18000", "f:2: [control] listen: 192.0.2.1:18000 is not a loopback address"),
-        ("listen = here", "f:2: [control] listen: 'here' is not an address with a port"),
+        ("listen = here", "f:2: [control] listen: 'here' is not an IP address with a port"),
         ("lease = 10ms", "f:2: [control] lease: must be at least 1s"),
         ("certificate = a.pem", "f:2: [control] certificate: requires key and authority to be set too"),
         ("instances = 0", "f:2: [control] instances: must be at least 1"),
--- a/crates/control-plane/src/server/connection.rs
+++ b/crates/control-plane/src/server/connection.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// Accepts connections until the receiver of `connections` is dropped. Each TLS handshake runs in a task of its
-/// own, so that a slow client does not block others.
+/// Accepts connections. Each TLS handshake runs in a task of its own, so that a slow client does not block others.
+/// Without TLS, returns at the first connection after the receiver of `connections` has been dropped.
 pub(super) async fn accept(
     listener: TcpListener, mut tls: Option<ReloadableTlsConfig>,
     connections: mpsc::Sender<io::Result<Connection>>,
--- a/crates/control-plane/src/server/discovery.rs
+++ b/crates/control-plane/src/server/discovery.rs
@@ -7,8 +7,9 @@
 use std::sync::Arc;
 use tokio::sync::{Notify, mpsc};
 
-/// Watches discovery each time `requested` is notified, and reports the end of a watch as a failed update. A new
-/// address ends the current watch and starts one there without a known revision, which returns the full list.
+/// Watches discovery each time `requested` is notified, and reports the end of a watch as a failed update. A
+/// notification during a watch starts the next one once the watch has ended. A new address ends the current watch
+/// and starts one there without a known revision, which returns the full list.
 pub(super) async fn watch_discovery(
     mut address: tokio::sync::watch::Receiver<SocketAddr>, requested: Arc<Notify>,
     updates: mpsc::Sender<EndpointListUpdate>,
--- a/crates/control-plane/src/server/error.rs
+++ b/crates/control-plane/src/server/error.rs
@@ -9,7 +9,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// No listen address is configured.
-    #[error("[control] listen: it is not set, so the control service is off")]
+    #[error("[control] listen: not set, so the control plane is disabled")]
     NotEnabled,
     /// The listening socket cannot be opened.
     #[error("listen on {address}: {source}")]
--- a/crates/control-plane/src/session/push.rs
+++ b/crates/control-plane/src/session/push.rs
@@ -40,9 +40,10 @@
 }
 
 impl DiscoverySession {
-    /// Returns the responses to send now, in the order clusters, endpoints, listeners, routes. Routes are held
-    /// back until the clusters that they refer to are acknowledged; clusters and endpoints that no route
-    /// refers to any longer are removed after the new routes are acknowledged.
+    /// Returns the responses to send now, in the order clusters, endpoints, listeners, routes; while a drain is
+    /// pending, endpoints come first. Routes are held back until the clusters that they refer to and their endpoints
+    /// are acknowledged; clusters and endpoints that no route refers to any longer are removed after the new routes
+    /// are acknowledged.
     pub fn push(&mut self, now: Micros, desired: &ResourceSnapshot, urgency: Urgency) -> Vec<Response> {
         for resource_type in ResourceType::ALL {
             self.resolve_claimed_version(resource_type, desired);
@@ -125,7 +126,7 @@
 
     /// Whether all clusters that the desired routes refer to have acknowledged endpoints. Applies only to
     /// proxies with a wildcard subscription to clusters: a proxy that subscribes to clusters by name does so
-    /// after it received the routes, and delays these until the clusters are ready.
+    /// after it received the routes, and applies the routes only once the clusters are ready.
     fn may_push_routes(&self, desired: &ResourceSnapshot) -> bool {
         let clusters = self.subscription(ResourceType::Cluster);
         let endpoints = self.subscription(ResourceType::Endpoints);
--- a/crates/control-plane/src/session/subscription.rs
+++ b/crates/control-plane/src/session/subscription.rs
@@ -66,7 +66,8 @@
     pub sent: BTreeMap<String, KnownVersion>,
     /// Versions that the proxy has acknowledged, by resource name.
     pub acknowledged: BTreeMap<String, KnownVersion>,
-    /// Versions that the proxy rejected, by resource name.
+    /// Versions that the proxy rejected in a response of their own, by resource name. They are not sent again unless
+    /// the proxy requests the resource again.
     pub rejected: BTreeMap<String, String>,
     /// The combined version of the type in the response that the proxy rejected last.
     pub rejected_type_version: Option<String>,
--- a/crates/control-plane/tests/loopback/main.rs
+++ b/crates/control-plane/tests/loopback/main.rs
@@ -300,7 +300,7 @@
             result.expect_err("the control plane does not start").to_string()
         }
     };
-    assert_eq!(run("").await, "[control] listen: it is not set, so the control service is off");
+    assert_eq!(run("").await, "[control] listen: not set, so the control plane is disabled");
     let files = "certificate = /nowhere/c\nkey = /nowhere/k\nauthority = /nowhere/a";
     let error = run(&format!("listen = 127.0.0.1:0\n{files}")).await;
     assert!(error.starts_with("/nowhere/"), "{error}");
--- a/crates/control-plane/tests/machine/random_faults.rs
+++ b/crates/control-plane/tests/machine/random_faults.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn under_random_faults_no_view_is_partially_applied_and_all_proxies_agree_at_the_end() {
+fn under_random_faults_no_route_lacks_endpoints_and_all_proxies_agree_at_the_end() {
     (0..60).for_each(simulate_random_faults);
 }
 
--- a/crates/test-servers/src/proxy.rs
+++ b/crates/test-servers/src/proxy.rs
@@ -29,7 +29,7 @@
 /// A proxy that connects to an xDS service.
 pub struct Proxy {
     /// The service's address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The proxy's settings.
     pub script: Script,
     client: watch::Sender<XdsClient>,
@@ -37,9 +37,9 @@
 
 impl Proxy {
     /// Returns a proxy that is not connected and has received nothing; [`run`](Proxy::run) connects it.
-    pub fn new(at: SocketAddr, script: Script) -> Proxy {
+    pub fn new(address: SocketAddr, script: Script) -> Proxy {
         let (client, _) = watch::channel(XdsClient::new(script.clone()));
-        Proxy { at, script, client }
+        Proxy { address, script, client }
     }
 
     /// Returns a copy of the proxy's view.
@@ -85,7 +85,8 @@
     pub async fn channel(&self) -> Result<Channel, Status> {
         let scheme = if self.script.tls.is_some() { "https" } else { "http" };
         let unavailable = |error: tonic::transport::Error| Status::unavailable(format!("{error:?}"));
-        let mut endpoint = Endpoint::from_shared(format!("{scheme}://{}", self.at)).map_err(unavailable)?;
+        let mut endpoint =
+            Endpoint::from_shared(format!("{scheme}://{}", self.address)).map_err(unavailable)?;
         if let Some(tls) = &self.script.tls {
             let config = ClientTlsConfig::new()
                 .ca_certificate(Certificate::from_pem(&tls.authority))
--- a/crates/test-servers/src/proxy_view.rs
+++ b/crates/test-servers/src/proxy_view.rs
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
     /// The endpoint's address.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Whether the endpoint may receive new requests.
     pub healthy: bool,
     /// The zone of the endpoint's locality; empty if it has no locality.
@@ -55,15 +55,15 @@
     pub rejected: usize,
     /// The number of resources received without content, which are heartbeats.
     pub heartbeats: usize,
-    /// Clusters that a route led to and that were missing, or had no endpoint list, after a response was handled. Not
-    /// recorded for proxyless clients.
+    /// Clusters that a route led to and that were missing, or had no endpoint list, after a response was handled; at
+    /// most one is recorded for each response, and none for proxyless clients.
     pub unresolved_clusters: Vec<String>,
 }
 
 impl View {
     /// Whether the proxy may send new requests to a node: the node is healthy in a cluster that a route leads to.
-    pub fn uses(&self, at: SocketAddr) -> bool {
-        let is_usable = |backend: &Backend| backend.at == at && backend.healthy;
+    pub fn uses(&self, address: SocketAddr) -> bool {
+        let is_usable = |backend: &Backend| backend.address == address && backend.healthy;
         self.routed_clusters()
             .filter_map(|cluster| self.endpoints.get(cluster))
             .any(|backends| backends.iter().any(is_usable))
@@ -158,7 +158,7 @@
         panic!("the host identifier is not an endpoint")
     };
     Backend {
-        at: socket_address(&host.address),
+        address: socket_address(&host.address),
         healthy: endpoint.health_status == HealthStatus::Healthy as i32,
         zone: locality.locality.as_ref().map_or(String::new(), |locality| locality.zone.clone()),
         priority: locality.priority,
--- a/crates/test-servers/src/xds_client.rs
+++ b/crates/test-servers/src/xds_client.rs
@@ -1,5 +1,5 @@
 //! The client side of an xDS stream, without a socket: it subscribes, accepts or rejects responses, and keeps the
-//! proxy's view. After each response it checks that no route of the view leads to a cluster without endpoints.
+//! proxy's view. After each response it records whether a route of the view leads to a cluster without endpoints.
 
 use crate::resources::{ResourceType, name_of};
 use crate::{DiscoveryRequest, DiscoveryResponse, Script, View};
