--- a/crates/control-plane/src/codec.rs
+++ b/crates/control-plane/src/codec.rs
@@ -16,7 +16,7 @@
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const NANOS_PER_MICRO: i64 = 1000;
 
-/// Returns the id and the zone of the proxy that sent a message; `None` without a `node` field.
+/// Returns the ID and the zone of the proxy that sent a message; `None` without a `node` field.
 pub(crate) fn proxy_node(node: &Option<Node>) -> Option<ProxyNode<'_>> {
     let node = node.as_ref()?;
     let zone = node.locality.as_ref().map_or("", |locality| &locality.zone);
--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -168,7 +168,7 @@
     }
 
     /// Compares the requests offered of one cluster with the proxy's fair share and its current grant, and updates the
-    /// status of the whole offer.
+    /// status and the coverage of the whole offer.
     fn add(&mut self, target: u32, offered: u32, granted: u32) {
         if offered < target {
             self.status = GrantStatus::Partial;
--- a/crates/control-plane/src/dump.rs
+++ b/crates/control-plane/src/dump.rs
@@ -18,7 +18,7 @@
     pub source: serde_json::Error,
 }
 
-/// Returns the resources that a proxy with this id and zone would receive if discovery returned the endpoint list
+/// Returns the resources that a proxy with this ID and zone would receive if discovery returned the endpoint list
 /// in the configuration.
 pub fn dump(now: Micros, config: &Config, options: Options, id: &str, zone: &str) -> Result<Json, DumpError> {
     let mut control_plane = ControlPlane::new(now, config, options);
--- a/crates/control-plane/src/tls.rs
+++ b/crates/control-plane/src/tls.rs
@@ -137,7 +137,7 @@
     paths.map(|path| std::fs::metadata(path).and_then(|metadata| metadata.modified()).ok())
 }
 
-/// Returns the DNS names in a certificate's subjectAltName (RFC 5280, 4.2.1.6), which are the proxy ids that its
+/// Returns the DNS names in a certificate's subjectAltName (RFC 5280, 4.2.1.6), which are the proxy IDs that its
 /// owner may use; none if the certificate cannot be parsed.
 pub(crate) fn dns_names(certificate: &[u8]) -> Vec<String> {
     let Ok((_, certificate)) = X509Certificate::from_der(certificate) else { return Vec::new() };
--- a/crates/control-plane/tests/machine/random_faults.rs
+++ b/crates/control-plane/tests/machine/random_faults.rs
@@ -75,9 +75,9 @@
     simulate_random_faults(1687);
 }
 
-/// Takes some minutes: `cargo test --release -p control-plane --test machine -- --ignored`
+/// Runs for some minutes: `cargo test --release -p control-plane --test machine -- --ignored`
 #[test]
-#[ignore = "a long run of the same, some minutes"]
+#[ignore = "runs for some minutes"]
 fn random_faults_for_two_thousand_seeds() {
     for seed in 60..2000 {
         println!("seed {seed}");
