--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -18,7 +18,7 @@
 /// The resources that a proxy should have now.
 pub(super) struct ProxySnapshot {
     pub resources: Arc<ResourceSnapshot>,
-    pub grants: GrantStatus,
+    pub grant_status: GrantStatus,
 }
 
 /// The grants that can be offered to a proxy now.
@@ -40,11 +40,11 @@
     /// Returns the resources that a proxy should have now, with its share of each cluster. They are empty if there is
     /// no desired state yet or the proxy must keep its current resources.
     pub(super) fn snapshot(&mut self, now: Micros, id: ProxyId) -> ProxySnapshot {
-        let empty = ProxySnapshot { resources: Arc::default(), grants: GrantStatus::Full };
+        let empty = ProxySnapshot { resources: Arc::default(), grant_status: GrantStatus::Full };
         let Some(proxy) = self.proxies.get(&id) else { return empty };
         let generation = self.desired.generation;
         if let Some(cached) = proxy.snapshot.as_ref().filter(|cached| cached.generation == generation) {
-            return ProxySnapshot { resources: cached.resources.clone(), grants: GrantStatus::Full };
+            return ProxySnapshot { resources: cached.resources.clone(), grant_status: GrantStatus::Full };
         }
         // The cached endpoint list may be older than the resources that a resumed proxy has. Until discovery has
         // sent a list, only proxies without resources get a snapshot.
@@ -60,7 +60,7 @@
         {
             proxy.snapshot = Some(CachedSnapshot { generation, resources: resources.clone() });
         }
-        ProxySnapshot { resources, grants: offer.status }
+        ProxySnapshot { resources, grant_status: offer.status }
     }
 
     /// Returns the snapshot that all proxies with these grants share.
@@ -71,7 +71,7 @@
         if self.snapshots.len() >= MAX_SNAPSHOTS {
             self.snapshots.clear();
         }
-        let snapshot = Arc::new(self.resources.snapshot(&self.site, &self.desired, &grants));
+        let snapshot = Arc::new(self.resources.snapshot(&self.deployment, &self.desired, &grants));
         self.snapshots.insert(grants, snapshot.clone());
         snapshot
     }
@@ -82,10 +82,10 @@
         self.offer_replica_sets(&mut offer, id, proxy);
         self.offer_constrained_nodes(&mut offer, now, id, proxy);
         let constrained = &offer.grants.constrained;
-        let is_leaving = |name: &&String| {
+        let is_revoked = |name: &&String| {
             is_node_cluster(name) && !constrained.iter().any(|grant| grant.cluster == **name)
         };
-        offer.grants.leaving = proxy.session.sent_clusters().filter(is_leaving).cloned().collect();
+        offer.grants.revoked_clusters = proxy.session.sent_clusters().filter(is_revoked).cloned().collect();
         offer
     }
 
@@ -123,8 +123,8 @@
     /// after a restart, or have not acknowledged the node's drain, may still send a warming node the load of a warm
     /// one.
     fn may_raise_grants(&self, now: Micros, node: NodeId) -> bool {
-        let awaits_reconnects =
-            self.earlier_versions == EarlierVersions::InUse && now < self.started_at + self.options.hold;
+        let awaits_reconnects = self.earlier_versions == EarlierVersions::InUse
+            && now < self.started_at + self.options.grant_hold;
         !awaits_reconnects && self.drains.is_complete(node)
     }
 
@@ -159,16 +159,16 @@
 impl GrantOffer {
     /// An offer without grants.
     fn new(zone: usize) -> GrantOffer {
-        let (replica_sets, constrained, leaving) = (Vec::new(), Vec::new(), Vec::new());
+        let (replica_sets, constrained, revoked_clusters) = (Vec::new(), Vec::new(), Vec::new());
         GrantOffer {
-            grants: ProxyGrants { zone, replica_sets, constrained, leaving },
+            grants: ProxyGrants { zone, replica_sets, constrained, revoked_clusters },
             status: GrantStatus::Full,
             coverage: OfferCoverage::WithinGrants,
         }
     }
 
     /// Compares the requests offered of one cluster with the proxy's fair share and its current grant, and updates the
-    /// status of the whole offer.
+    /// status and the coverage of the whole offer.
     fn add(&mut self, target: u32, offered: u32, granted: u32) {
         if offered < target {
             self.status = GrantStatus::Partial;
