--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -49,7 +49,7 @@
 
 /// Operations that the balancer requests from a front end. Optional operations do nothing by default; a front end
 /// overrides those that it supports.
-#[allow(unused_variables, reason = "the defaults ignore what they are asked")]
+#[allow(unused_variables, reason = "the default implementations ignore their parameters")]
 pub trait Actions {
     /// Sends the next attempt of a shard request. All attempts sent to a node in one call of
     /// [`decide`](crate::Events::decide) share a batch. Without a `timeout`, the attempt times out at the
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -18,7 +18,7 @@
 impl Serve {
     /// Serves until a signal requests shutdown.
     pub fn run(self) -> Result<(), CliError> {
-        let signals = query_router::install_signal_handlers()?;
+        let signals = query_router::block_signals()?;
         let read_file = || read_operator_file(self.operator.clone());
         let mut operator_file = query_router::retry_at_start(read_file, CliError::operator_file_io_error)?;
         log_to_stderr(&mut operator_file)?;
--- a/crates/cli/tests/loopback/resource_limits.rs
+++ b/crates/cli/tests/loopback/resource_limits.rs
@@ -11,7 +11,7 @@
 /// Starts a router whose socket limit allows the watch of discovery and one client connection.
 fn start_with_two_sockets(test_name: &str, node: &DataNode) -> (RouterProcess, Discovery) {
     let discovery = discovery_with_node(node.address);
-    let mut config = config(discovery.at, LONG_DEADLINE);
+    let mut config = config(discovery.address, LONG_DEADLINE);
     config["limits"]["sockets"] = 18.into();
     // Cancelling is disabled, so attempts end only at their deadline.
     config["settings"]["ceilings"]["cancelling"] = false.into();
@@ -37,7 +37,7 @@
 fn incomplete_requests_over_the_memory_limit_are_rejected_and_other_clients_are_served() {
     let node = DataNode::new();
     let discovery = discovery_with_node(node.address);
-    let mut config = config(discovery.at, LONG_DEADLINE);
+    let mut config = config(discovery.address, LONG_DEADLINE);
     config["limits"]["memory_mb"] = 4.into();
     let router = RouterProcess::start("memory", &config);
     router.wait_for_counter("endpoint_lists_full", 2);
--- a/crates/cli/tests/loopback/rig/mod.rs
+++ b/crates/cli/tests/loopback/rig/mod.rs
@@ -55,7 +55,7 @@
 /// Starts a router and a discovery service with one node, and waits until the router has received the endpoint list.
 pub fn start_with_node(test_name: &str, node: SocketAddr, deadline: Duration) -> (RouterProcess, Discovery) {
     let discovery = discovery_with_node(node);
-    let router = RouterProcess::start(test_name, &config(discovery.at, deadline));
+    let router = RouterProcess::start(test_name, &config(discovery.address, deadline));
     router.wait_for_counter("endpoint_lists_full", 2);
     (router, discovery)
 }
--- a/crates/cli/tests/loopback/serving.rs
+++ b/crates/cli/tests/loopback/serving.rs
@@ -11,7 +11,7 @@
 
 /// Starts a router with one service class, which makes one attempt per shard request, and waits until it listens.
 fn start(test_name: &str, discovery: &Discovery) -> RouterProcess {
-    let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.at, "seed": "2a",
+    let config = json!({"name": "r0", "listen": "127.0.0.1:0", "discovery": discovery.address, "seed": "2a",
         "limits": {"sockets": 64}, "known": {"revision": 7, "complete": true, "members": []},
         "settings": {"tickNs": 5_000_000, "registryMode": "ask", "zones": ["z"],
             "familyInfo": {"sets": 1, "shards": SHARDS, "width": 1, "bundleMax": 4},
--- a/crates/cli/tests/loopback/system_calls.rs
+++ b/crates/cli/tests/loopback/system_calls.rs
@@ -21,7 +21,7 @@
 /// the log.
 fn serve_with_faults(test_name: &str, call: Call, per_mille: u32, faults: &[Fault]) -> String {
     let discovery = discovery_with_node(data_node());
-    let router = FaultyRouter::start(test_name, &config(discovery.at, LONG_DEADLINE), |_| {});
+    let router = FaultyRouter::start(test_name, &config(discovery.address, LONG_DEADLINE), |_| {});
     router.process.wait_for_counter("endpoint_lists_full", 2);
     router.control.set_rate(call, per_mille, faults);
     let mut client = router.process.connect();
@@ -84,7 +84,7 @@
     for (name, call, faults) in cases {
         let node = DataNode::new();
         let discovery = discovery_with_node(node.address);
-        let router = FaultyRouter::start(name, &config(discovery.at, LONG_DEADLINE), |_| {});
+        let router = FaultyRouter::start(name, &config(discovery.address, LONG_DEADLINE), |_| {});
         router.process.wait_for_counter("endpoint_lists_full", 2);
         for round in 0..20 {
             let mut client = router.process.connect();
@@ -110,7 +110,8 @@
     let faults = [Fault::Error(libc::EINTR)];
     serve_with_faults("interrupted-waits", Call::Wait, 300, &faults);
     let discovery = discovery_with_node(data_node());
-    let router = FaultyRouter::start("interrupted-signals", &config(discovery.at, LONG_DEADLINE), |_| {});
+    let router =
+        FaultyRouter::start("interrupted-signals", &config(discovery.address, LONG_DEADLINE), |_| {});
     router.process.wait_for_counter("endpoint_lists_full", 2);
     router.control.fail_next(Call::ReadSignal, 3, Fault::Error(libc::EINTR));
     router.process.signal(rustix::process::Signal::USR1);
@@ -133,7 +134,7 @@
         let discovery = discovery_with_node(data_node());
         let prepare = |control: &Control| control.fail_next(call, 2, Fault::Error(error));
         let name = format!("faulty-start-{index}");
-        let router = FaultyRouter::start(&name, &config(discovery.at, LONG_DEADLINE), prepare);
+        let router = FaultyRouter::start(&name, &config(discovery.address, LONG_DEADLINE), prepare);
         assert_eq!(router.control.injected(call), 2, "{call:?}");
         router.process.wait_for_counter("endpoint_lists_full", 2);
         query_successfully(&mut router.process.connect(), "t1");
@@ -145,7 +146,7 @@
 fn router_starts_after_temporary_errors_in_reading_the_operator_file() {
     let discovery = discovery_with_node(data_node());
     let prepare = |control: &Control| control.fail_next(Call::Open, 2, Fault::Error(libc::ENFILE));
-    let config = config(discovery.at, LONG_DEADLINE);
+    let config = config(discovery.address, LONG_DEADLINE);
     let mut router = FaultyRouter::spawn_with_operator_file("faulty-operator", &config, "", prepare);
     router.process.wait_until_listening();
     assert_eq!(router.control.injected(Call::Open), 2);
@@ -155,11 +156,11 @@
 #[test]
 fn configuration_is_reloaded_after_temporary_errors_in_reading_it() {
     let (first, second) = (Discovery::start(8, vec![]), Discovery::start(3, vec![]));
-    let mut config = config(first.at, LONG_DEADLINE);
+    let mut config = config(first.address, LONG_DEADLINE);
     let router = FaultyRouter::start("faulty-reload", &config, |_| {});
     router.process.wait_for_counter("endpoint_lists_full", 2);
     // The file is missing at first, then incomplete, then complete. The signal is sent only once.
-    config["discovery"] = second.at.to_string().into();
+    config["discovery"] = second.address.to_string().into();
     let text = config.to_string();
     router.process.signal(rustix::process::Signal::HUP);
     std::thread::sleep(Duration::from_millis(150));
@@ -179,9 +180,10 @@
     let node = data_node();
     let discovery = Discovery::start(8, vec![node_entry("a", node, now_ms)]);
     let shift_ms = if is_behind { -(shift.as_millis() as i64) } else { shift.as_millis() as i64 };
-    let router = FaultyRouter::start(test_name, &config(discovery.at, Duration::from_secs(2)), |control| {
-        control.set_wall_clock_shift_ms(shift_ms);
-    });
+    let router =
+        FaultyRouter::start(test_name, &config(discovery.address, Duration::from_secs(2)), |control| {
+            control.set_wall_clock_shift_ms(shift_ms);
+        });
     router.process.wait_for_counter("endpoint_lists_full", 2);
     let mut client = router.process.connect();
     for index in 0..40 {
@@ -208,7 +210,7 @@
 #[test]
 fn wall_clock_stepped_while_the_router_runs_changes_no_deadline() {
     let discovery = discovery_with_node(data_node());
-    let router = FaultyRouter::start("clock-stepped", &config(discovery.at, LONG_DEADLINE), |_| {});
+    let router = FaultyRouter::start("clock-stepped", &config(discovery.address, LONG_DEADLINE), |_| {});
     router.process.wait_for_counter("endpoint_lists_full", 2);
     let mut client = router.process.connect();
     let started = Instant::now();
--- a/crates/control-plane/examples/measure.rs
+++ b/crates/control-plane/examples/measure.rs
@@ -169,7 +169,7 @@
         (0..arguments.nodes).map(|node| endpoint_entry(node, REPLICA_SETS, "ready", 0)).collect();
     let list_bytes = list.iter().map(|entry| entry.to_string().len()).sum();
     let discovery = Discovery::start(7, list);
-    let (server, _stop) = start_server(discovery.at, arguments.proxies).await;
+    let (server, _stop) = start_server(discovery.address, arguments.proxies).await;
     let memory_before = resident_memory();
     let started_at = Instant::now();
     let proxies = start_proxies(server, arguments).await;
--- a/crates/control-plane/tests/loopback/main.rs
+++ b/crates/control-plane/tests/loopback/main.rs
@@ -289,7 +289,7 @@
 async fn the_error_states_why_the_control_plane_does_not_start() {
     let discovery = start_discovery(1, 1);
     let run = |option_lines: &str| {
-        let config = Config { discovery: discovery.at, ..config(1, 1, Vec::new()) };
+        let config = Config { discovery: discovery.address, ..config(1, 1, Vec::new()) };
         let (ready, _address) = oneshot::channel();
         let (stop, stop_requested) = oneshot::channel();
         let options = options(option_lines);
--- a/crates/control-plane/tests/loopback/running_server.rs
+++ b/crates/control-plane/tests/loopback/running_server.rs
@@ -25,7 +25,7 @@
     /// Starts a control plane on a free port. `option_lines` are further lines of section `[control]`.
     pub async fn start(discovery: &Discovery, replica_sets: usize, option_lines: &str) -> RunningServer {
         let options = options(&format!("listen = 127.0.0.1:0\n{option_lines}"));
-        RunningServer::start_with_options(discovery.at, replica_sets, options).await
+        RunningServer::start_with_options(discovery.address, replica_sets, options).await
     }
 
     async fn start_with_options(
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! Settings, endpoint entries and options that the tests and the example share.
-#![allow(dead_code, reason = "each program uses a part of it")]
+#![allow(dead_code, reason = "the tests and the example each use only some of the items")]
 
 use balancer::Micros;
 use control_plane::Options;
--- a/crates/query-router/src/event_loop/mod.rs
+++ b/crates/query-router/src/event_loop/mod.rs
@@ -18,7 +18,7 @@
 mod tests;
 
 pub use error::ServeError;
-pub use signals::{SignalSource, install_signal_handlers};
+pub use signals::{SignalSource, block_signals};
 pub use system_error::retry_at_start;
 
 use crate::config::{Config, ConfigFileError};
--- a/crates/query-router/src/event_loop/signals.rs
+++ b/crates/query-router/src/event_loop/signals.rs
@@ -37,7 +37,7 @@
 /// # Errors
 ///
 /// Returns [`ServeError::Signals`] if the system call fails.
-pub fn install_signal_handlers() -> Result<SignalSource, ServeError> {
+pub fn block_signals() -> Result<SignalSource, ServeError> {
     let signals = || Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP, Signal::SIGUSR1]);
     retry_at_start(signals, io_error_of).map(SignalSource).map_err(ServeError::Signals)
 }
--- a/crates/query-router/src/event_loop/tests.rs
+++ b/crates/query-router/src/event_loop/tests.rs
@@ -38,7 +38,7 @@
                 "services": [
                     {"name": "pay", "idempotency": "non_idempotent", "deadlineNs": 20_000_000_000u64}]}});
         let config = Config::parse(&config.to_string()).expect("a valid configuration");
-        let signals = install_signal_handlers().expect("blocking the signals");
+        let signals = block_signals().expect("blocking the signals");
         let (event_loop, server) = start(signals, config, String::new()).expect("starting the router");
         let address = server.listener.local_address().expect("an address");
         TestRouter { event_loop, server, address, node, _discovery: discovery }
--- a/crates/query-router/src/lib.rs
+++ b/crates/query-router/src/lib.rs
@@ -15,4 +15,4 @@
 mod protocol;
 mod router;
 
-pub use event_loop::{ServeError, SignalSource, install_signal_handlers, read_config, retry_at_start, serve};
+pub use event_loop::{ServeError, SignalSource, block_signals, read_config, retry_at_start, serve};
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -46,7 +46,7 @@
     max_in_flight: Option<usize>,
     /// The idempotency of queries, by service class.
     idempotency: Vec<Idempotency>,
-    vocabulary: QueryParser,
+    query_parser: QueryParser,
 }
 
 impl Clients {
@@ -63,7 +63,7 @@
                 .map_or(usize::MAX, |bytes| bytes / UNCONSUMED_MEMORY_DIVISOR),
             max_in_flight: settings.limits.max_in_flight.filter(|&max| max > 0),
             idempotency: settings.named_classes().map(|class| class.idempotency).collect(),
-            vocabulary: QueryParser {
+            query_parser: QueryParser {
                 classes: settings.named_classes().map(|class| class.name.clone()).collect(),
                 tenants: settings.named_tenants().map(|tenant| tenant.name.clone()).collect(),
                 shards: settings.shards.count.unwrap_or(0),
--- a/crates/query-router/src/router/clients/requests.rs
+++ b/crates/query-router/src/router/clients/requests.rs
@@ -108,7 +108,7 @@
         &mut self, context: &mut Context, queries: &mut QueryTable, id: ConnectionId, request: &Request,
         arrived_at: Micros,
     ) -> Option<AcceptedQuery> {
-        let query = match self.vocabulary.parse(request) {
+        let query = match self.query_parser.parse(request) {
             Ok(_) if queries.contains(request.trace_id) => {
                 let reason = "a query with this X-Trace-Id is in progress";
                 self.reject_invalid(context, id, reason);
--- a/crates/query-router/src/router/shutdown.rs
+++ b/crates/query-router/src/router/shutdown.rs
@@ -6,13 +6,13 @@
 use balancer::Micros;
 
 /// The time between SIGTERM and the close of idle connections. Clients detect the shutdown with a delay, which this
-/// covers together with the slack of the protocol.
+/// covers together with the tolerance of 50 ms by which the platform's protocol extends each time limit.
 pub const IDLE_CLOSE_DELAY: Micros = 450_000;
 /// The platform kills the process this long after SIGTERM plus the longest deadline of any service class.
 pub const KILL_DELAY: Micros = 700_000;
 /// The upper limit on the deadline that is added to [`KILL_DELAY`].
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// The time between the response deadline and the kill: twice the slack of the protocol.
+/// The time between the response deadline and the kill: twice the protocol's tolerance of 50 ms.
 const RESPONSE_MARGIN: Micros = 100_000;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, PartialOrd)]
--- a/crates/query-router/src/router/tests/shutdown.rs
+++ b/crates/query-router/src/router/tests/shutdown.rs
@@ -39,9 +39,9 @@
 }
 
 /// Guards against a query that arrives before SIGTERM and gets no response: the kill closed its connection, as only
-/// queries accepted after the signal had a deadline before the kill. Soak seeds 416 and 420 reported this ("closed
-/// after 3736 ms") with a deadline of 5 s and nodes that hang: the query arrived 34 ms before SIGTERM, and the kill
-/// came 3.70 s after SIGTERM.
+/// queries accepted after the signal had a deadline before the kill. Soak seeds 416 and 420 reported this ("lost ...
+/// closed after 3736 ms") with a deadline of 5 s and nodes that hang: the query arrived 34 ms before SIGTERM, and the
+/// kill came 3.70 s after SIGTERM.
 #[test]
 fn a_query_accepted_before_shutdown_is_answered_before_the_process_is_killed() {
     // The deadline of the client and the latency objective of the class are 5 s, and the node never responds. The
--- a/crates/test-servers/src/discovery.rs
+++ b/crates/test-servers/src/discovery.rs
@@ -11,7 +11,7 @@
 #[derive(Clone)]
 pub struct Discovery {
     /// The address on which the server listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
@@ -78,11 +78,11 @@
         let state = State { revision, members: by_id(members), ..State::default() };
         let shared = Arc::new(Shared { state: Mutex::new(state), changed: Condvar::new() });
         let served = shared.clone();
-        let at = crate::listen(move |stream| {
+        let address = crate::listen(move |stream| {
             // An error means that the client closed its connection, which it may do at any time.
             let _ = connection::serve(stream, &served);
         });
-        Discovery { at, shared }
+        Discovery { address, shared }
     }
 
     /// Publishes changed entries in one incremental update; an entry whose phase is `gone` is removed from the list.
--- a/crates/test-servers/tests/servers.rs
+++ b/crates/test-servers/tests/servers.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn a_poll_gets_the_full_list() {
-    let response = fetch(discovery().at, "GET /api/targets HTTP/1.1\r\n\r\n");
+    let response = fetch(discovery().address, "GET /api/targets HTTP/1.1\r\n\r\n");
     let (header, body) = response.split_once("\r\n\r\n").expect("a header");
     assert!(
         header.starts_with("HTTP/1.1 200 OK") && header.contains(&format!("Content-Length: {}", body.len()))
@@ -61,7 +61,7 @@
 #[test]
 fn a_watch_gets_the_list_and_then_each_update() {
     let discovery = discovery();
-    let mut watch = Watch::start_after(discovery.at, 0);
+    let mut watch = Watch::start_after(discovery.address, 0);
     assert_eq!(watch.update()["complete"], json!(true));
     let changed = member("a", "127.0.0.1:9001", "z", 0, "draining", 0);
     discovery.publish(vec![changed.clone()]);
@@ -74,7 +74,7 @@
 fn a_watch_after_a_known_revision_gets_the_updates_alone() {
     let discovery = discovery();
     discovery.publish(vec![member("b", "127.0.0.1:9002", "z", 0, "ready", 0)]);
-    let update = Watch::start_after(discovery.at, 3).update();
+    let update = Watch::start_after(discovery.address, 3).update();
     assert_eq!((&update["revision"], &update["complete"]), (&json!(4), &json!(false)));
 }
 
@@ -83,7 +83,7 @@
     let discovery = discovery();
     discovery.publish(vec![member("a", "127.0.0.1:9001", "z", 0, "gone", 0)]);
     assert!(
-        fetch(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n")
+        fetch(discovery.address, "GET /api/targets HTTP/1.1\r\n\r\n")
             .ends_with(&(json!({"revision": 4, "complete": true, "members": []}).to_string() + "\n"))
     );
 }
@@ -92,9 +92,9 @@
 fn while_discovery_is_down_requests_fail() {
     let discovery = discovery();
     discovery.set_down(true);
-    assert!(fetch(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503 "));
+    assert!(fetch(discovery.address, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 503 "));
     discovery.set_down(false);
-    assert!(fetch(discovery.at, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200 "));
+    assert!(fetch(discovery.address, "GET /api/targets HTTP/1.1\r\n\r\n").starts_with("HTTP/1.1 200 "));
 }
 
 #[test]
