--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -57,8 +57,8 @@
     fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>);
     /// Cancels an attempt in flight; its end must still be reported.
     fn cancel_attempt(&mut self, attempt: AttemptId) {}
-    /// Answers a query. If its class has a second step, the first `Complete` or `Partial` does not end the
-    /// query: the shard requests of the second step follow.
+    /// Responds to a query with its result. If its class has a second step, the first `Complete` or `Partial`
+    /// does not end the query: the shard requests of the second step follow.
     fn complete_query(&mut self, query: QueryId, completion: Completion);
     /// Releases the identifiers of a query and its shard requests for reuse: the query has ended and none of
     /// its attempts is in flight.
--- a/crates/balancer/src/events.rs
+++ b/crates/balancer/src/events.rs
@@ -5,13 +5,13 @@
 /// Outcome of an attempt or a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The node answered successfully.
+    /// The node executed the attempt and returned its answer.
     Succeeded,
-    /// The node answered with an error; the attempt may have been executed.
+    /// The node responded with an error; the attempt may have been executed.
     ServerError,
     /// The node rejected the attempt without executing it.
     Rejected,
-    /// No answer arrived within the attempt's timeout; the attempt may have been executed.
+    /// No response arrived within the attempt's timeout; the attempt may have been executed.
     TimedOut,
     /// No connection to the node could be established, so the attempt was not executed.
     ConnectFailed,
--- a/crates/balancer/src/policy/admission.rs
+++ b/crates/balancer/src/policy/admission.rs
@@ -85,8 +85,8 @@
         StageResult::Continue
     }
 
-    /// Whether a plan reaches the minimum completeness of a query. Deviation: a query may start with what its minimum
-    /// requires; the rest follows once there is capacity.
+    /// Returns whether a plan reaches the minimum completeness of a query. Deviation: a query may start with what its
+    /// minimum requires; the rest follows once there is capacity.
     fn reaches_minimum(&self, id: QueryId, plan: &Plan) -> bool {
         let minimum = self.classes[self.queries[id].class].completeness_minimum;
         let weight = |assignment: &Assignment| self.queries[assignment.shard_request].weight;
--- a/crates/balancer/src/policy/health.rs
+++ b/crates/balancer/src/policy/health.rs
@@ -37,8 +37,8 @@
         self.admission.rejections.push_times(now, value, count);
     }
 
-    /// Records a load report. Deviation: it counts as a single observation, by what happened to more than half of its
-    /// requests.
+    /// Records a load report. Deviation: it counts as a single observation, a failure if more than half of its requests
+    /// failed, otherwise a success.
     pub(crate) fn observe_report(&mut self, now: Micros, node: NodeId, report: &LoadReport) {
         let half = (report.succeeded + report.failed + report.connect_failures) / 2.0;
         let outcome = match report {
@@ -229,8 +229,8 @@
         }
     }
 
-    /// Returns the share of new work for `nodes` that must be shed, by the load that other proxies reported there; 0
-    /// while the load fits the capacity.
+    /// Returns the fraction (0 to 1) of new requests to `nodes` that must be shed because the requests in flight that
+    /// other proxies reported exceed the capacity of the nodes.
     pub fn shed_fraction(&self, now: Micros, nodes: &[NodeId]) -> f64 {
         let (mut total_capacity, mut in_flight) = (0.0, 0.0);
         for &id in nodes {
--- a/crates/balancer/src/policy/retries.rs
+++ b/crates/balancer/src/policy/retries.rs
@@ -65,14 +65,14 @@
         false
     }
 
-    /// Whether a hedged attempt may be sent. While latencies are high it would add to an overload.
+    /// Returns whether a hedged attempt may be sent. While latencies are high it would add to an overload.
     fn may_hedge(&self, id: ShardRequestId, class: usize) -> bool {
         let objective = self.classes[class].latency_objective;
         let is_overloaded = self.statistics.median_latency().is_some_and(|median| 4 * median > objective);
         self.queries[id].in_flight < 2 && self.deployment.hedging && !is_overloaded
     }
 
-    /// Whether another attempt is permitted and can be answered in time.
+    /// Returns whether another attempt is permitted and can be answered in time.
     fn may_repeat(&self, now: Micros, id: ShardRequestId, repeat: Repeat) -> bool {
         let (request, query) = (&self.queries[id], self.queries.query_of(id));
         let useful_until = if repeat == Repeat::Hedge { query.latency_objective } else { query.deadline };
@@ -81,8 +81,8 @@
             && self.may_execute_again(now, id, repeat)
     }
 
-    /// Whether another attempt is permitted by the idempotency of the service class. If no attempt can have been
-    /// executed, a retry is permitted in any class.
+    /// Returns whether another attempt is permitted by the idempotency of the service class. If no attempt can have
+    /// been executed, a retry is permitted in any class.
     fn may_execute_again(&self, now: Micros, id: ShardRequestId, repeat: Repeat) -> bool {
         let class = &self.classes[self.queries.query_of(id).class];
         let Some(sent_at) = self.queries[id].may_have_executed_since else { return repeat == Repeat::Retry };
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Whether a node suits an attempt: any usable node for a retry, and a healthy node that had no attempt yet for a
-    /// hedged attempt.
+    /// Returns whether a node suits an attempt: any usable node for a retry, and a healthy node that had no attempt yet
+    /// for a hedged attempt.
     fn is_acceptable(&self, id: ShardRequestId, repeat: Repeat, choice: Choice) -> bool {
         let is_new_node = !self.queries[id].attempts.contains(&choice.node);
         repeat == Repeat::Retry && choice.is_usable()
--- a/crates/balancer/src/policy/selection.rs
+++ b/crates/balancer/src/policy/selection.rs
@@ -137,7 +137,7 @@
         batch.min(MAX_CONCURRENCY_LIMIT / 2.0 * batch / self.deployment.routers)
     }
 
-    /// Whether a node holds the shard of a shard request.
+    /// Returns whether a node holds the shard of a shard request.
     fn holds_shard_of(&self, node: NodeId, id: ShardRequestId) -> bool {
         self.shards.holds(self.nodes[node].replica_set, self.queries[id].shard)
     }
--- a/crates/balancer/src/policy/slow_start.rs
+++ b/crates/balancer/src/policy/slow_start.rs
@@ -28,7 +28,7 @@
         })
     }
 
-    /// Whether slow start allows a batch of `planned` shard requests to be sent to a node.
+    /// Returns whether slow start allows a batch of `planned` shard requests to be sent to a node.
     pub(super) fn slow_start_allows(&self, now: Micros, id: NodeId, planned: usize, class: usize) -> bool {
         let Some(slow_start) = self.slow_start(now, id) else { return true };
         let fits_window =
@@ -56,22 +56,23 @@
         (1..=wanted).take_while(fits).count()
     }
 
-    /// Whether a node may be sent no more than this router's share of a window. This holds if the endpoint list states
-    /// the recent start of the node, since only then the cold-overload rule is binding, and if an equal share of the
-    /// window holds a batch of one shard request.
+    /// Returns whether a node may be sent no more than this router's share of a window. This holds if the endpoint list
+    /// states the recent start of the node, since only then the cold-overload rule is binding, and if an equal share of
+    /// the window holds a batch of one shard request.
     fn is_limited_to_window(&self, slow_start: &SlowStart, class: usize) -> bool {
         slow_start.reason == WarmUpReason::RecentStart && self.equal_share_holds_batch(slow_start, class)
     }
 
-    /// Whether an equal share of the work that all routers may send in a window holds a batch of one shard request.
+    /// Returns whether an equal share of the work that all routers may send in a window holds a batch of one shard
+    /// request.
     fn equal_share_holds_batch(&self, slow_start: &SlowStart, class: usize) -> bool {
         let window = self.deployment.cold_overload.window as f64;
         self.estimated_batch_work(1, class) <= slow_start.window_share * window / self.deployment.routers
     }
 
-    /// Whether `work` fits into this router's share of a window: the larger of an equal share and of the share that
-    /// the router has of a warm node's work. Routers with little traffic leave most of their equal share to routers
-    /// with more traffic.
+    /// Returns whether `work` fits into this router's share of a window: the larger of an equal share and of the share
+    /// that the router has of a warm node's work. Routers with little traffic leave most of their equal share to
+    /// routers with more traffic.
     fn fits_window(&self, now: Micros, id: NodeId, slow_start: &SlowStart, work: f64) -> bool {
         let window = self.deployment.cold_overload.window;
         let router_share = self.statistics.mean_utilization().max(1.0 / self.deployment.routers);
@@ -79,10 +80,10 @@
         self.nodes[id].work_sent.sum(now - window) + work <= allowance
     }
 
-    /// Whether the allowance for another batch has accrued. Among many routers an equal share of a window is less
-    /// than a batch. A warm node handles the work that all routers send it on average, so each router accrues the share
-    /// of its own mean work rate that the rule allows, until that equals the work of its last batch. The first batch
-    /// waits for a random share of half a batch, so that the first batches of all routers do not arrive at once.
+    /// Returns whether the allowance for another batch has accrued. Among many routers an equal share of a window is
+    /// less than a batch. A warm node handles the work that all routers send it on average, so each router accrues the
+    /// share of its own mean work rate that the rule allows, until that equals the work of its last batch. The first
+    /// batch waits for a random share of half a batch, so that the first batches of all routers do not arrive at once.
     fn has_accrued_batch(&self, now: Micros, id: NodeId, slow_start: &SlowStart, class: usize) -> bool {
         let &SlowStart { since, current_share, .. } = slow_start;
         let node = &self.nodes[id];
--- a/crates/balancer/src/policy/tests/rig.rs
+++ b/crates/balancer/src/policy/tests/rig.rs
@@ -98,7 +98,7 @@
     AttemptId::new(ShardRequestId(shard_request), AttemptNumber(number))
 }
 
-/// Reports the arrival of query `id`, due in 3 s, with shard requests `id + 1 ..`, all for shard 0.
+/// Reports the arrival of query `id`, whose deadline is in 3 s, with shard requests `id + 1 ..`, all for shard 0.
 pub fn arrive(balancer: &mut Balancer, id: usize, shard_requests: usize) {
     balancer.query_arrived(NOW, &query(id, NOW + 3_000_000, shard_requests));
     for index in 0..shard_requests {
--- a/crates/balancer/src/policy/tests/slow_start.rs
+++ b/crates/balancer/src/policy/tests/slow_start.rs
@@ -166,7 +166,7 @@
     restart_after: Micros,
 }
 
-/// Returns the highest load of node 0 while it warms up, as a multiple of what it may be sent in a window. The traffic
+/// Returns the highest load of node 0 while it warms up, as a multiple of the load allowed in a window. The traffic
 /// is divided among the routers by their weights.
 fn peak_load(seed: u64, rule: &ColdOverloadRule, weights: &[f64], traffic: Traffic) -> f64 {
     let total: f64 = weights.iter().sum();
--- a/crates/balancer/src/state/node.rs
+++ b/crates/balancer/src/state/node.rs
@@ -98,7 +98,8 @@
     /// Time of the node's last answer, or of closing the idle connections to it; `Micros::MAX` before the
     /// first.
     pub last_activity_at: Micros,
-    /// Time of the last malformed response or lost connection; 0 if there was none or the node has answered since.
+    /// Time of the last malformed response or lost connection; 0 if there was none or the node has answered or
+    /// restarted since.
     pub suspect_since: Micros,
     /// Time of the last connection failure; 0 if there was none or the node has since answered as fast as a warm
     /// node.
--- a/crates/balancer/src/state/observation.rs
+++ b/crates/balancer/src/state/observation.rs
@@ -18,6 +18,6 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LateAttempt {
     pub sent_at: Micros,
-    /// Whether the node is in a zone with a high additional latency.
+    /// Whether the cross-zone latency of the node exceeds the typical latency of an attempt.
     pub is_remote: bool,
 }
--- a/crates/balancer/src/state/query_table.rs
+++ b/crates/balancer/src/state/query_table.rs
@@ -35,7 +35,7 @@
 pub struct QueryTable {
     queries: Vec<Option<Query>>,
     shard_requests: Vec<Option<ShardRequest>>,
-    /// Queries without a final answer, in the order of their arrival.
+    /// Queries that have not ended, in the order of their arrival.
     open: Vec<QueryId>,
     /// Queries that have ended but may still have attempts in flight.
     ended: Vec<QueryId>,
@@ -60,7 +60,7 @@
         self.shard_requests[id.0] = Some(shard_request);
     }
 
-    /// Returns the queries without a final answer, in the order of their arrival.
+    /// Returns the queries that have not ended, in the order of their arrival.
     pub fn open(&self) -> &[QueryId] {
         &self.open
     }
--- a/crates/cli/tests/loopback/rig/router_process.rs
+++ b/crates/cli/tests/loopback/rig/router_process.rs
@@ -44,7 +44,7 @@
         RouterProcess { child, log, address: String::new() }
     }
 
-    /// Waits for the log line that states the address on which the router listens. Only lines about delayed attempts to
+    /// Waits for the log line that states the address on which the router listens. Only lines about a delayed
     /// start may precede it.
     pub fn wait_until_listening(&mut self) {
         let mut line = self.read_log_line();
--- a/crates/control-plane/src/capacity_ledger.rs
+++ b/crates/control-plane/src/capacity_ledger.rs
@@ -95,7 +95,7 @@
         request.target.min(granted + free).max(request.minimum)
     }
 
-    /// Whether no proxy has a grant.
+    /// Returns whether no proxy has a grant.
     #[cfg(test)]
     pub fn is_empty(&self) -> bool {
         self.clusters.is_empty()
--- a/crates/control-plane/src/control_plane/desired_state_update.rs
+++ b/crates/control-plane/src/control_plane/desired_state_update.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Whether one of the node's clusters is a replica set's cluster that did not contain the node before.
+/// Returns whether one of the node's clusters is a replica set's cluster that did not contain the node before.
 fn joins_replica_set(clusters: &[String], before: Option<&Vec<String>>) -> bool {
     let is_new = |name: &String| before.is_none_or(|before| !before.contains(name));
     clusters.iter().any(|name| !is_node_cluster(name) && is_new(name))
--- a/crates/control-plane/src/control_plane/maintenance.rs
+++ b/crates/control-plane/src/control_plane/maintenance.rs
@@ -109,7 +109,7 @@
         self.metrics.invariants_broken.inc_by(exceeded as u64);
     }
 
-    /// Whether some proxy has not yet acknowledged a lower grant of a constrained node.
+    /// Returns whether some proxy has not yet acknowledged a lower grant of a constrained node.
     fn has_pending_reduction(&self, cluster: &str, capacity: u32) -> bool {
         self.proxies.iter().any(|(&id, proxy)| {
             self.capacity_ledger.granted(cluster, id)
--- a/crates/control-plane/src/control_plane/proxy_state.rs
+++ b/crates/control-plane/src/control_plane/proxy_state.rs
@@ -25,7 +25,7 @@
 }
 
 impl AuthorizedNames {
-    /// Whether the stream is authorized to use this proxy ID.
+    /// Returns whether the stream is authorized to use this proxy ID.
     pub fn contains(&self, id: &str) -> bool {
         match self {
             AuthorizedNames::Any => true,
--- a/crates/control-plane/src/control_plane/snapshot.rs
+++ b/crates/control-plane/src/control_plane/snapshot.rs
@@ -119,9 +119,9 @@
         }
     }
 
-    /// Whether the grants of a constrained node may be raised. They may not while proxies that have not reconnected
-    /// after a restart, or have not acknowledged the node's drain, may still send a warming node the load of a warm
-    /// one.
+    /// Returns whether the grants of a constrained node may be raised. They may not while proxies that have not
+    /// reconnected after a restart, or have not acknowledged the node's drain, may still send a warming node the load
+    /// of a warm one.
     fn may_raise_grants(&self, now: Micros, node: NodeId) -> bool {
         let awaits_reconnects = self.earlier_versions == EarlierVersions::InUse
             && now < self.started_at + self.options.grant_hold;
@@ -157,7 +157,7 @@
 }
 
 impl GrantOffer {
-    /// An offer without grants.
+    /// Creates an offer without grants.
     fn new(zone: usize) -> GrantOffer {
         let (replica_sets, constrained, revoked_clusters) = (Vec::new(), Vec::new(), Vec::new());
         GrantOffer {
--- a/crates/control-plane/src/deployment_settings.rs
+++ b/crates/control-plane/src/deployment_settings.rs
@@ -68,8 +68,8 @@
         self.zones.iter().position(|known| known == zone).unwrap_or(self.zones.len())
     }
 
-    /// Whether the nodes of replica set `node_set` hold the shards whose first replica set is `shard_set`. Shards are
-    /// assigned to first replica sets round-robin, and `replica_sets_per_shard` consecutive sets hold each.
+    /// Returns whether the nodes of replica set `node_set` hold the shards whose first replica set is `shard_set`.
+    /// Shards are assigned to first replica sets round-robin, and `replica_sets_per_shard` consecutive sets hold each.
     pub fn holds_shards(&self, node_set: usize, shard_set: usize) -> bool {
         let distance = (node_set % self.replica_sets + self.replica_sets - shard_set) % self.replica_sets;
         distance < self.replica_sets_per_shard
--- a/crates/control-plane/src/desired_state.rs
+++ b/crates/control-plane/src/desired_state.rs
@@ -85,7 +85,7 @@
     format!("{NODE_CLUSTER_PREFIX}{id}")
 }
 
-/// Whether this is the name of a single-node cluster.
+/// Returns whether this is the name of a single-node cluster.
 pub(crate) fn is_node_cluster(name: &str) -> bool {
     name.starts_with(NODE_CLUSTER_PREFIX)
 }
@@ -148,8 +148,8 @@
         ((capacity_share / proxy_share).min(1.0) * 100.0) as u32 / PERCENT_STEP * PERCENT_STEP
     }
 
-    /// Whether the desired states have equal replica sets, constrained nodes and divisors of capacity. Generations and
-    /// the exact numbers of proxies are not compared.
+    /// Returns whether the desired states have equal replica sets, constrained nodes and divisors of capacity.
+    /// Generations and the exact numbers of proxies are not compared.
     pub fn is_equivalent(&self, other: &DesiredState) -> bool {
         self.replica_sets == other.replica_sets
             && self.constrained_nodes == other.constrained_nodes
--- a/crates/control-plane/src/discovery_watch.rs
+++ b/crates/control-plane/src/discovery_watch.rs
@@ -15,10 +15,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-/// Maximum interval between lines from discovery, which sends an empty line if nothing changed.
-const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// The longest time between two lines of a watch: discovery sends a blank line if nothing has changed.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// Time without data from discovery after which the watch is ended.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(2 * KEEP_ALIVE_INTERVAL.as_secs());
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2 * HEARTBEAT_INTERVAL.as_secs());
 /// Maximum length of a line, in bytes.
 const MAX_LINE_LENGTH: usize = 64 << 20;
 
@@ -131,7 +131,7 @@
     Later,
 }
 
-/// Parses the update in a line. An empty line only keeps the connection alive, except as the first line: then
+/// Parses the update in a line. A blank line only shows that discovery works, except as the first line: then
 /// nothing has changed since the requested revision.
 fn parse_line(
     line: &[u8], position: LinePosition, revision: &mut u64,
--- a/crates/control-plane/src/drain_tracker.rs
+++ b/crates/control-plane/src/drain_tracker.rs
@@ -48,12 +48,12 @@
         self.pending.remove(&node);
     }
 
-    /// Whether a node has no pending drain.
+    /// Returns whether a node has no pending drain.
     pub fn is_complete(&self, node: NodeId) -> bool {
         !self.pending.contains_key(&node)
     }
 
-    /// Whether a proxy has not acknowledged some pending drain.
+    /// Returns whether a proxy has not acknowledged some pending drain.
     pub fn is_waiting_for(&self, proxy: ProxyId) -> bool {
         self.pending.values().any(|pending| pending.waiting_for.contains(&proxy))
     }
@@ -92,7 +92,8 @@
     }
 }
 
-/// Whether a proxy has acknowledged endpoints of this generation or a later one, or has no endpoints of the cluster.
+/// Returns whether a proxy has acknowledged endpoints of this generation or a later one, or has no endpoints of the
+/// cluster.
 fn has_applied(session: &DiscoverySession, cluster: &str, generation: u64) -> bool {
     match session.acknowledged_generation(ResourceType::Endpoints, cluster) {
         Some(acknowledged) => acknowledged >= generation,
--- a/crates/control-plane/src/endpoint_table.rs
+++ b/crates/control-plane/src/endpoint_table.rs
@@ -189,7 +189,7 @@
         (health != EndpointHealth::Removed).then_some(view)
     }
 
-    /// Returns the fraction (0 to 1) of new queries to these nodes that a router would shed.
+    /// Returns the fraction (0 to 1) of new requests to these nodes that proxies must shed, as the balancer computes it.
     pub fn shed_fraction(&self, now: Micros, nodes: &[NodeId]) -> f64 {
         self.balancer.shed_fraction(now, nodes)
     }
--- a/crates/control-plane/src/resource.rs
+++ b/crates/control-plane/src/resource.rs
@@ -43,8 +43,8 @@
         ResourceType::ALL.into_iter().find(|resource_type| resource_type.type_url() == type_url)
     }
 
-    /// Whether a state-of-the-world response lists all resources of the type, so that the proxy removes the ones
-    /// that are missing. Only such types support wildcard subscriptions.
+    /// Returns whether a state-of-the-world response lists all resources of the type, so that the proxy removes the
+    /// ones that are missing. Only such types support wildcard subscriptions.
     pub fn is_full_state(self) -> bool {
         matches!(self, ResourceType::Cluster | ResourceType::Listener)
     }
--- a/crates/control-plane/src/server/connection.rs
+++ b/crates/control-plane/src/server/connection.rs
@@ -15,7 +15,7 @@
 use tokio_rustls::server::TlsStream;
 use tonic::transport::server::Connected;
 
-/// Time limit for a TLS handshake.
+/// Timeout of a TLS handshake.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Interval between checks of the certificate files for changes.
 const CERTIFICATE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/control-plane/src/server/http.rs
+++ b/crates/control-plane/src/server/http.rs
@@ -21,7 +21,7 @@
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
 /// Maximum number of accepted connections queued for the server.
 const MAX_QUEUED_CONNECTIONS: usize = 64;
-/// Time limit for connections to close on shutdown.
+/// Timeout for connections to close on shutdown.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 const METRICS_PATH: &str = "/-/counters";
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
--- a/crates/control-plane/src/server/mod.rs
+++ b/crates/control-plane/src/server/mod.rs
@@ -93,10 +93,7 @@
         };
         let settings = self.config.fields_needing_restart(&reloaded);
         if !settings.is_empty() {
-            tracing::warn!(
-                settings = settings.join(", "),
-                "configuration reloaded; the changed settings take effect after a restart"
-            );
+            tracing::warn!(settings = settings.join(", "), "changed configuration fields require a restart");
         }
         self.discovery
             .send_if_modified(|address| std::mem::replace(address, reloaded.discovery) != reloaded.discovery);
--- a/crates/control-plane/src/session/mod.rs
+++ b/crates/control-plane/src/session/mod.rs
@@ -5,8 +5,9 @@
 //! The session performs no I/O and reads no clock. It follows the "xDS REST and gRPC protocol" page of the
 //! Envoy documentation; comments quote the titles of its sections.
 //!
-//! A response is held back until the previous one of the same type is answered, so that a slow proxy gets
-//! the newest state and not a queue of outdated ones. Endpoint responses may be sent ahead of answers, up to a
+//! A response is answered once the proxy has acknowledged or rejected it. Until the previous response of the same
+//! type is answered, the next one is held back, so that a slow proxy gets the newest state and not a queue of
+//! outdated ones. Endpoint responses may be sent ahead of answers, up to a
 //! limit, while a drain is pending.
 
 mod push;
@@ -86,7 +87,7 @@
         &mut self.subscriptions[resource_type as usize]
     }
 
-    /// Whether the proxy connected with versions that it received on an earlier stream.
+    /// Returns whether the proxy connected with versions that it received on an earlier stream.
     pub fn is_resumed(&self) -> bool {
         self.origin == SessionOrigin::Resumed
     }
@@ -96,45 +97,45 @@
         self.origin = SessionOrigin::Resumed;
     }
 
-    /// Whether the proxy has requested resources of this type on this stream.
+    /// Returns whether the proxy has requested resources of this type on this stream.
     pub fn has_requested(&self, resource_type: ResourceType) -> bool {
         self.subscription(resource_type).is_requested()
     }
 
-    /// Whether the proxy may still have the resource from its previous stream. False once it has requested the
+    /// Returns whether the proxy may still have the resource from its previous stream. False once it has requested the
     /// type on this stream.
     pub fn had_on_previous_stream(&self, resource_type: ResourceType, name: &str) -> bool {
         !self.has_requested(resource_type)
             && self.previous_versions[resource_type as usize].contains_key(name)
     }
 
-    /// Time at which the oldest unanswered response was sent; `None` if all are answered.
+    /// Returns the time at which the oldest unanswered response was sent; `None` if all are answered.
     pub fn oldest_pending_sent_at(&self) -> Option<Micros> {
         let oldest = self.subscriptions.iter().filter_map(|subscription| subscription.pending.front());
         oldest.map(|response| response.sent_at).min()
     }
 
-    /// Whether an unanswered response contains the resource.
+    /// Returns whether an unanswered response contains the resource.
     pub fn is_pending(&self, resource_type: ResourceType, name: &str) -> bool {
         let mut changes =
             self.subscription(resource_type).pending.iter().flat_map(|response| &response.changes);
         changes.any(|change| change.name == name)
     }
 
-    /// Names of the clusters that were sent to the proxy.
+    /// Returns the names of the clusters that were sent to the proxy.
     pub fn sent_clusters(&self) -> impl Iterator<Item = &String> {
         self.subscription(ResourceType::Cluster).sent.keys()
     }
 
-    /// Generation of the resource version that the proxy acknowledged last; 0 if another control plane created
-    /// that version, `None` if the proxy has acknowledged none.
+    /// Returns the generation of the resource version that the proxy acknowledged last; 0 if another control plane
+    /// created that version, `None` if the proxy has acknowledged none.
     pub fn acknowledged_generation(&self, resource_type: ResourceType, name: &str) -> Option<u64> {
         let known = self.subscription(resource_type).acknowledged.get(name)?;
         Some(known.resource.as_ref().map_or(0, |resource| resource.generation))
     }
 
-    /// Clusters that the proxy may use, each with the maximum of `max_requests` over the acknowledged and the
-    /// unanswered versions, since the proxy may apply any of them.
+    /// Returns the clusters that the proxy may use, each with the maximum of `max_requests` over the acknowledged and
+    /// the unanswered versions, since the proxy may apply any of them.
     pub fn max_requests_in_force(&self) -> BTreeMap<String, u32> {
         let subscription = self.subscription(ResourceType::Cluster);
         let acknowledged = if subscription.is_requested() {
--- a/crates/control-plane/src/session/push.rs
+++ b/crates/control-plane/src/session/push.rs
@@ -110,7 +110,7 @@
         self.last_nonce
     }
 
-    /// Whether the proxy has acknowledged the desired routes, or has none.
+    /// Returns whether the proxy has acknowledged the desired routes, or has none.
     fn routes_are_current(&self, desired: &ResourceSnapshot) -> bool {
         let routes = self.subscription(ResourceType::Route);
         if !routes.is_requested() {
@@ -124,9 +124,9 @@
         routes.pending.is_empty() && desired.of_type(ResourceType::Route).iter().all(is_current)
     }
 
-    /// Whether all clusters that the desired routes refer to have acknowledged endpoints. Applies only to
-    /// proxies with a wildcard subscription to clusters: a proxy that subscribes to clusters by name does so
-    /// after it received the routes, and applies the routes only once the clusters are ready.
+    /// Returns whether all clusters that the desired routes refer to have acknowledged endpoints. Applies only to
+    /// proxies with a wildcard subscription to clusters: a proxy that subscribes to clusters by name does so after it
+    /// received the routes, and applies the routes only once the clusters are ready.
     fn may_push_routes(&self, desired: &ResourceSnapshot) -> bool {
         let clusters = self.subscription(ResourceType::Cluster);
         let endpoints = self.subscription(ResourceType::Endpoints);
@@ -197,7 +197,8 @@
         Response { resource_type, kind, nonce, version: type_version, resources, removed }
     }
 
-    /// Names of resources that were sent and are no longer desired. Endpoints are kept as long as their cluster.
+    /// Returns the names of resources that were sent and are no longer desired. Endpoints are kept as long as their
+    /// cluster.
     fn no_longer_desired(&self, resource_type: ResourceType, desired: &ResourcesByName) -> Vec<String> {
         let clusters = &self.subscription(ResourceType::Cluster).sent;
         let is_kept = |name: &String| resource_type == ResourceType::Endpoints && clusters.contains_key(name);
@@ -205,7 +206,7 @@
         sent.filter(|name| !desired.contains_key(*name) && !is_kept(name)).cloned().collect()
     }
 
-    /// The content of an incremental response: changed resources, and names that were removed or do not exist.
+    /// Returns the content of an incremental response: changed resources, and names that were removed or do not exist.
     fn delta_content(
         &mut self, resource_type: ResourceType, desired: &ResourcesByName, removal: Removal,
     ) -> Option<ResponseContent> {
@@ -230,7 +231,7 @@
         Some(ResponseContent { resources, removed, type_version: String::new() })
     }
 
-    /// The content of a state-of-the-world response for a type whose responses list all resources.
+    /// Returns the content of a state-of-the-world response for a type whose responses list all resources.
     fn full_state_content(
         &mut self, resource_type: ResourceType, desired: &ResourcesByName, removal: Removal,
     ) -> Option<ResponseContent> {
@@ -254,7 +255,7 @@
         Some(ResponseContent { resources: all.into_values().collect(), removed, type_version })
     }
 
-    /// Resources that were sent to the proxy and, until it acknowledges one, those from its previous stream.
+    /// Returns the resources that were sent to the proxy and, until it acknowledges one, those from its previous stream.
     fn retained_resources(&self, resource_type: ResourceType) -> Vec<Arc<Resource>> {
         let subscription = self.subscription(resource_type);
         let previous = self.previous_versions[resource_type as usize].iter();
@@ -264,7 +265,7 @@
         subscribed.filter_map(|(_, known)| known.resource.clone()).collect()
     }
 
-    /// The content of a state-of-the-world response for a type whose responses list only changed resources.
+    /// Returns the content of a state-of-the-world response for a type whose responses list only changed resources.
     fn changed_content(
         &self, resource_type: ResourceType, desired: &ResourcesByName,
     ) -> Option<ResponseContent> {
--- a/crates/control-plane/src/session/subscription.rs
+++ b/crates/control-plane/src/session/subscription.rs
@@ -99,7 +99,7 @@
 }
 
 impl TypeSubscription {
-    /// Whether the proxy has requested the type on this stream.
+    /// Returns whether the proxy has requested the type on this stream.
     pub fn is_requested(&self) -> bool {
         self.state != RequestState::NotRequested
     }
@@ -113,7 +113,7 @@
         is_first
     }
 
-    /// Whether the subscription covers the resource.
+    /// Returns whether the subscription covers the resource.
     pub fn is_subscribed(&self, name: &str) -> bool {
         self.wildcard || self.names.contains(name)
     }
--- a/crates/query-router/src/event_loop/effects.rs
+++ b/crates/query-router/src/event_loop/effects.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Schedules another attempt to open a connection after a transient error.
+    /// Schedules a retry of opening a connection after a transient error.
     fn delay_opening(&mut self, connection: ConnectionId, error: &std::io::Error, retry: Retry) {
         let now = self.clock.now();
         tracing::debug!(connection = connection.0, %error, "connect delayed by a local shortage; retrying");
@@ -117,7 +117,7 @@
         self.execute_effects();
     }
 
-    /// Schedules another attempt to read and write on a connection after a local shortage.
+    /// Schedules a retry of reading and writing on a connection after a local shortage.
     pub(super) fn read_and_write_later(&mut self, connection: ConnectionId) {
         self.retries.add(self.clock.now(), connection, Retry::ReadAndWrite);
     }
--- a/crates/query-router/src/event_loop/iteration.rs
+++ b/crates/query-router/src/event_loop/iteration.rs
@@ -109,7 +109,7 @@
     }
 
     /// Accepts clients until none is waiting, accepting fails, or the router does not take an accepted stream. Pauses
-    /// the listener in the last two cases. Returns the outcome of the last attempt.
+    /// the listener in the last two cases. Returns the outcome of the last call.
     fn accept_clients(&mut self) -> AcceptOutcome {
         let mut outcome = AcceptOutcome::Accepted;
         while !self.listener.has_accepted() {
--- a/crates/query-router/src/event_loop/listener.rs
+++ b/crates/query-router/src/event_loop/listener.rs
@@ -3,7 +3,7 @@
 
 use super::clock::Clock;
 use super::error::ServeError;
-use super::system_error::{MAX_IMMEDIATE_ATTEMPTS, RETRY_PAUSE};
+use super::system_error::{MAX_IMMEDIATE_CALLS, RETRY_PAUSE};
 use balancer::Micros;
 use calloop::generic::Generic;
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -17,7 +17,7 @@
 /// paused.
 const MAX_ACCEPT_FAILURES: usize = 64;
 
-/// The outcome of an attempt to accept a connection.
+/// The outcome of accepting a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AcceptOutcome {
     /// A stream was accepted and queued.
@@ -93,7 +93,7 @@
         self.schedule_retry(Errno::CONNABORTED, clock)
     }
 
-    /// Schedules the next attempt, and logs the first failure since the last accepted connection.
+    /// Schedules a retry, and logs the first failure since the last accepted connection.
     fn schedule_retry(&mut self, error: Errno, clock: &Clock) -> AcceptOutcome {
         if self.retry_at == 0 {
             tracing::warn!(%error, "accepting a client connection failed; retrying");
@@ -140,7 +140,7 @@
 /// Disables Nagle's algorithm, so that small writes are sent immediately. Closing a connection that has unread input
 /// resets it, which would discard output that the system has delayed.
 fn disable_nagle_algorithm(stream: &TcpStream) {
-    let is_set = (0..MAX_IMMEDIATE_ATTEMPTS).any(|_| stream.set_nodelay(true).is_ok());
+    let is_set = (0..MAX_IMMEDIATE_CALLS).any(|_| stream.set_nodelay(true).is_ok());
     if !is_set {
         tracing::warn!("setting TCP_NODELAY on a client connection failed; its small writes may be delayed");
     }
--- a/crates/query-router/src/event_loop/reload.rs
+++ b/crates/query-router/src/event_loop/reload.rs
@@ -6,17 +6,17 @@
 use crate::io::Event;
 use balancer::Micros;
 
-/// Time between two attempts to reload the configuration.
+/// Time from a failed reload to its retry.
 const RETRY_INTERVAL: Micros = 100_000;
 /// Time after the signal at which the reload is abandoned.
 const RETRY_PERIOD: Micros = 10_000_000;
 
-/// A scheduled attempt to reload the configuration after a failed one.
+/// A scheduled retry of a failed reload.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PendingReload {
-    /// Time of the next attempt.
+    /// Time of the retry.
     pub(super) retry_at: Micros,
-    /// Time from which a failed attempt is the last one.
+    /// Time from which a failed retry is the last one.
     abandoned_at: Micros,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Repeats a failed reload if its next attempt is due.
+    /// Repeats a failed reload if its retry is due.
     pub(super) fn retry_reload(&mut self) {
         let now = self.clock.now();
         let Some(reload) = self.pending_reload.take_if(|reload| reload.retry_at <= now) else { return };
--- a/crates/query-router/src/event_loop/server.rs
+++ b/crates/query-router/src/event_loop/server.rs
@@ -55,7 +55,7 @@
     pub(super) ready: Vec<(ConnectionId, Readiness)>,
     /// Calls to repeat after a local shortage.
     pub(super) retries: Retries,
-    /// The next attempt to reload the configuration after a failed one; `None` if none is scheduled.
+    /// The scheduled retry of a failed reload of the configuration; `None` if there is none.
     pub(super) pending_reload: Option<PendingReload>,
     /// Number of successive failures to wait for events.
     pub(super) wait_failures: usize,
--- a/crates/query-router/src/event_loop/socket.rs
+++ b/crates/query-router/src/event_loop/socket.rs
@@ -1,7 +1,7 @@
 //! A non-blocking connection with its input and output buffers. Every operation returns the outcome of its system call;
 //! the caller handles it.
 
-use super::system_error::{self, ErrorClass, MAX_IMMEDIATE_ATTEMPTS};
+use super::system_error::{self, ErrorClass, MAX_IMMEDIATE_CALLS};
 use crate::io::Bytes;
 use crate::protocol::http::MAX_REQUEST_BYTES;
 use calloop::RegistrationToken;
@@ -195,7 +195,7 @@
 
     /// Checks the receive buffer of the socket without consuming its bytes.
     pub(super) fn unread(&self) -> Unread {
-        for _ in 0..MAX_IMMEDIATE_ATTEMPTS {
+        for _ in 0..MAX_IMMEDIATE_CALLS {
             match self.stream.peek(&mut [0]) {
                 Ok(0) => return Unread::End,
                 Ok(_) => return Unread::Bytes,
@@ -283,7 +283,7 @@
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     let stream = TcpStream::from(net::socket_with(family, SocketType::STREAM, flags, None)?);
     stream.set_nodelay(true)?;
-    for _ in 0..MAX_IMMEDIATE_ATTEMPTS {
+    for _ in 0..MAX_IMMEDIATE_CALLS {
         match net::connect(&stream, &address) {
             // The system may continue to connect after an interruption; the next call then returns `ALREADY` or
             // `ISCONN`.
--- a/crates/query-router/src/event_loop/system_error.rs
+++ b/crates/query-router/src/event_loop/system_error.rs
@@ -8,12 +8,12 @@
 
 /// Pause before a call is repeated that failed due to a local shortage.
 pub(super) const RETRY_PAUSE: Micros = 10_000;
-/// Maximum number of attempts at a call without a pause between them.
-pub(super) const MAX_IMMEDIATE_ATTEMPTS: usize = 8;
+/// Maximum number of times that a call is made in succession, without a pause in between.
+pub(super) const MAX_IMMEDIATE_CALLS: usize = 8;
 /// Time during which calls that are required for the start are retried. The platform waits 30 s for the router to
 /// start.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Pause between two attempts at a call that is required for the start.
+/// Pause before a call that is required for the start is repeated.
 const START_PAUSE: Duration = Duration::from_millis(20);
 
 /// The class of an error of a system call.
--- a/crates/query-router/src/protocol/http/error.rs
+++ b/crates/query-router/src/protocol/http/error.rs
@@ -4,7 +4,7 @@
 /// the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpError {
-    /// The start line or a header field is malformed.
+    /// The start line or a header field is malformed, or the head of a response is too large.
     #[error("the start line or a header field is malformed")]
     MalformedHead,
     /// The head exceeds [`MAX_HEAD_BYTES`](super::limits::MAX_HEAD_BYTES) or has too many fields.
--- a/crates/query-router/src/router/clients/mod.rs
+++ b/crates/query-router/src/router/clients/mod.rs
@@ -16,9 +16,9 @@
 use idle::{LINGER_TIMEOUT, evict_surplus_idle, half_close};
 use replies::Replies;
 
-/// The time for which a new connection may have no request before it counts as idle, as specified by the operators.
+/// The time for which a new connection may have no request before it counts as idle, as specified by the platform.
 const FIRST_REQUEST_TIMEOUT: Micros = 2_000_000;
-/// The time for which a client may send nothing in the middle of a request. The operators require that a stalled
+/// The time for which a client may send nothing in the middle of a request. The platform requires that a stalled
 /// request ends within 3 s.
 const STALLED_REQUEST_TIMEOUT: Micros = 2_500_000;
 /// The divisor of the memory limit that gives the limit on unconsumed bytes of all clients.
@@ -181,7 +181,7 @@
                 let (status, reason) = if context.shutdown.has_begun() && is_stalled {
                     (503, "ending")
                 } else {
-                    (408, "the request took too long to come")
+                    (408, "the request was not received in time")
                 };
                 self.replies.reply_line(context, id, status, reason);
             }
--- a/crates/query-router/src/router/clients/requests.rs
+++ b/crates/query-router/src/router/clients/requests.rs
@@ -87,7 +87,7 @@
             }
         };
         if request.method != allowed_method {
-            self.replies.reply_line(context, id, 405, &format!("this path takes {allowed_method}"));
+            self.replies.reply_line(context, id, 405, &format!("this path supports only {allowed_method}"));
             return None;
         }
         match path {
--- a/crates/query-router/src/router/connection/node.rs
+++ b/crates/query-router/src/router/connection/node.rs
@@ -24,15 +24,15 @@
     },
 }
 
-/// How far an attempt was sent when it was cancelled.
+/// How far the frame of an attempt was written when the attempt was cancelled.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SendProgress {
-    /// The attempt was removed before its first byte was written.
-    NotSent,
-    /// The frame of the attempt is not known to be written in full. The attempt ends with the connection.
+pub enum WriteProgress {
+    /// No byte of the frame was written; the attempt was removed from the frame.
+    NotWritten,
+    /// The frame is not known to be written in full. The attempt ends with the connection.
     PartlyWritten,
-    /// The frame of the attempt was written in full; a cancellation is queued for the node.
-    Sent,
+    /// The frame was written in full; a cancellation is queued for the node.
+    Written,
 }
 
 /// Why a connection ends.
@@ -82,7 +82,7 @@
     /// The time since which the connection counts as idle. Meaningful only while it is idle.
     idle_from: Micros,
     queue: OutgoingQueue,
-    /// The number of bytes that were passed to the event loop.
+    /// The number of submitted bytes: those that were passed to the event loop for writing.
     bytes_submitted: u64,
     /// The number of submitted bytes that are known to be written.
     bytes_flushed: u64,
@@ -257,15 +257,15 @@
     pub fn cancel(
         &mut self, attempt: AttemptId, request_id: &Rc<str>, max_cancelled: usize,
         unanswered_since: Option<Micros>,
-    ) -> SendProgress {
+    ) -> WriteProgress {
         let Some(index) = self.in_flight.iter().position(|sent| sent.attempt == attempt) else {
             self.queue.remove(attempt);
-            return SendProgress::NotSent;
+            return WriteProgress::NotWritten;
         };
         if self.in_flight[index].end_offset > self.bytes_flushed {
             self.close_cause = CloseCause::Local;
             self.reusable = false;
-            return SendProgress::PartlyWritten;
+            return WriteProgress::PartlyWritten;
         }
         self.in_flight.remove(index);
         if unanswered_since.is_some_and(|requested_at| self.last_frame_at < requested_at) {
@@ -276,7 +276,7 @@
         }
         self.cancelled.push_back(request_id.clone());
         self.queue.push(OutgoingFrame::Cancellation(request_id.clone()));
-        SendProgress::Sent
+        WriteProgress::Written
     }
 
     /// Adds a frame of `length` bytes to the submitted bytes. Returns the offset of its end in all bytes written on the
--- a/crates/query-router/src/router/dispatch.rs
+++ b/crates/query-router/src/router/dispatch.rs
@@ -3,7 +3,7 @@
 
 use crate::config::Config;
 use crate::io::{ConnectionId, Effect};
-use crate::router::connection::node::{Establishment, SendProgress};
+use crate::router::connection::node::{Establishment, WriteProgress};
 use crate::router::connection::outgoing_queue::HealthCheckKind;
 use crate::router::context::Context;
 use crate::router::node_connections;
@@ -136,9 +136,11 @@
             is_overdue.then_some(requested_at),
         );
         match cancelled {
-            SendProgress::NotSent => queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent),
-            SendProgress::PartlyWritten => context.effects.push(Effect::Abort(connection)),
-            SendProgress::Sent => {
+            WriteProgress::NotWritten => {
+                queries.finish_attempt_later(context, attempt, AttemptOutcome::NotSent)
+            }
+            WriteProgress::PartlyWritten => context.effects.push(Effect::Abort(connection)),
+            WriteProgress::Written => {
                 node_connections::write(context, queries, connection);
                 node_connections::close_or_keep_idle(context, connection);
                 queries.finish_attempt_later(context, attempt, outcome);
--- a/crates/soak/src/checker/answers.rs
+++ b/crates/soak/src/checker/answers.rs
@@ -1,6 +1,6 @@
 //! Rules on responses: each request gets one in time, and its content comes from the nodes.
 
-use super::{Checker, MEASUREMENT_SLACK};
+use super::{Checker, MEASUREMENT_TOLERANCE};
 use crate::clock::{MILLISECOND, Micros};
 use crate::record::Record;
 use serde_json::Value as Json;
@@ -33,7 +33,7 @@
         let mut late = Vec::new();
         for (id, request) in &self.requests {
             let Some((at, status, _)) = request.response else { continue };
-            let limit = MAX_RESPONSE_DELAY + MEASUREMENT_SLACK;
+            let limit = MAX_RESPONSE_DELAY + MEASUREMENT_TOLERANCE;
             // Responses to pipelined requests arrive in the order of the requests.
             let earlier = request.behind.and_then(|earlier| self.requests.get(earlier)?.response);
             let due_at = request.at + request.expires_ms * MILLISECOND;
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Whether the router may have closed the new connection of a request without reading it: only if idle connections
-    /// use up the descriptors and no attempt was sent.
+    /// Returns whether the router may have closed the new connection of a request without reading it: only if idle
+    /// connections use up the descriptors and no attempt was sent.
     fn may_be_unread(&self, id: &str) -> bool {
         self.cluster.has_idle_connections() && !self.attempts.iter().any(|attempt| attempt.query == id)
     }
--- a/crates/soak/src/checker/kills.rs
+++ b/crates/soak/src/checker/kills.rs
@@ -18,8 +18,8 @@
 }
 
 impl Checker<'_> {
-    /// Whether a request that was sent at `requested_at` and lost at `lost_at` may be lost because its router was
-    /// killed or crashed, either without SIGTERM or with the request sent late enough after SIGTERM.
+    /// Returns whether a request that was sent at `requested_at` and lost at `lost_at` may be lost because its router
+    /// was killed or crashed, either without SIGTERM or with the request sent late enough after SIGTERM.
     pub(super) fn is_excused_by_kill(&self, router: usize, requested_at: Micros, lost_at: Micros) -> bool {
         let kills = kills(&self.cluster.routers[router].events);
         kills.iter().any(|kill| excuses(kill, requested_at, lost_at))
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -14,18 +14,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-/// Tolerance that the operators grant on each time limit.
-const PROTOCOL_SLACK: Micros = 50 * MILLISECOND;
+/// Tolerance by which the platform's protocol extends each time limit.
+const PROTOCOL_TOLERANCE: Micros = 50 * MILLISECOND;
 /// Measurement error that the machine of the test may add to each time.
-const MEASUREMENT_SLACK: Micros = 150 * MILLISECOND;
+const MEASUREMENT_TOLERANCE: Micros = 150 * MILLISECOND;
 /// Measurement error of the time of an attempt: its bytes pass a proxy before the node records them.
-const ATTEMPT_MEASUREMENT_SLACK: Micros = 50 * MILLISECOND;
+const ATTEMPT_MEASUREMENT_TOLERANCE: Micros = 50 * MILLISECOND;
 /// A stall longer than this suggests that other processes were stalled as well.
 const LONG_STALL: Micros = 20 * MILLISECOND;
 /// How long before the start of a long stall other processes may have been stalled.
 const STALL_RANGE: Micros = SECOND;
 /// How much the remaining time that an attempt states may exceed the time until the deadline of its request.
-const DEADLINE_SLACK: Micros = 150 * MILLISECOND;
+const DEADLINE_TOLERANCE: Micros = 150 * MILLISECOND;
 /// How long a router may be delayed between reading its clock and writing to a connection.
 const MAX_ROUTER_DELAY: Micros = 150 * MILLISECOND;
 /// How long after a request ended, by its response or by its client's close, attempts may still be sent for it.
@@ -48,7 +48,7 @@
 }
 
 impl Violation {
-    /// Whether the details contain the id of this query, or the id of the query of this shard request.
+    /// Returns whether the details contain the id of this query, or the id of the query of this shard request.
     pub fn mentions(&self, id: &str) -> bool {
         let query = id.rsplit_once('.').map_or(id, |(query, _)| query);
         let is_id_of_query = query.contains('-');
@@ -221,7 +221,7 @@
         if overlaps { MAX_ROUTER_DELAY } else { 0 }
     }
 
-    /// Whether there was a stall near this time, so that records do not show when the router wrote.
+    /// Returns whether there was a stall near this time, so that records do not show when the router wrote.
     fn is_near_stall(&self, at: Micros) -> bool {
         self.stalls
             .iter()
@@ -256,7 +256,7 @@
         }
     }
 
-    /// Whether an attempt may have been sent much earlier than its node received it.
+    /// Returns whether an attempt may have been sent much earlier than its node received it.
     fn may_be_delayed(&self, attempt: &Attempt) -> bool {
         let mut delays = self.cluster.node_delays.iter().filter(|delay| delay.node == attempt.node);
         delays.any(|delay| {
@@ -277,9 +277,12 @@
             let excess = attempt.wait_ms * MILLISECOND - remaining;
             peaks.deadline_excess = peaks.deadline_excess.max(excess);
             // Near a stall the bound is wider by the delay that the machine may add; it applies at all times.
-            let slack =
-                if self.is_near_stall(attempt.at) { MEASUREMENT_SLACK } else { ATTEMPT_MEASUREMENT_SLACK };
-            if excess > DEADLINE_SLACK + slack {
+            let tolerance = if self.is_near_stall(attempt.at) {
+                MEASUREMENT_TOLERANCE
+            } else {
+                ATTEMPT_MEASUREMENT_TOLERANCE
+            };
+            if excess > DEADLINE_TOLERANCE + tolerance {
                 let more = format!(
                     "states a remaining time of {} ms, {} ms are left",
                     attempt.wait_ms,
@@ -291,7 +294,7 @@
             let since_end = ended_at.map_or(0, |ended_at| attempt.at - ended_at);
             peaks.after_end = peaks.after_end.max(since_end);
             let router_delay = ended_at.map_or(0, |at| self.router_delay(request.router, at, attempt.at));
-            if since_end > MAX_SEND_AFTER_END + router_delay + slack {
+            if since_end > MAX_SEND_AFTER_END + router_delay + tolerance {
                 let more = format!("{} ms after its request ended", since_end / MILLISECOND);
                 found.push(("sent after the end", attempt.at, describe(more)));
             }
@@ -341,7 +344,7 @@
             match record {
                 Record::BadClientEnded { at, router, after, is_ended_by_router } => {
                     let is_in_time =
-                        *is_ended_by_router && *after <= TRUNCATED_REQUEST_LIMIT + MEASUREMENT_SLACK;
+                        *is_ended_by_router && *after <= TRUNCATED_REQUEST_LIMIT + MEASUREMENT_TOLERANCE;
                     if !is_in_time && !self.is_excused_by_kill(*router, at - after, *at) {
                         let details = format!(
                             "router {router}: connection with a truncated request was open for {} ms",
--- a/crates/soak/src/checker/nodes.rs
+++ b/crates/soak/src/checker/nodes.rs
@@ -1,6 +1,6 @@
 //! Rules on data nodes: draining and removed nodes get no new requests, and nodes that warm up are not overloaded.
 
-use super::{Attempt, Checker, MAX_ROUTER_DELAY, MEASUREMENT_SLACK, PROTOCOL_SLACK};
+use super::{Attempt, Checker, MAX_ROUTER_DELAY, MEASUREMENT_TOLERANCE, PROTOCOL_TOLERANCE};
 use crate::clock::{MILLISECOND, Micros, SECOND};
 use crate::cluster::EndpointChange;
 use crate::config::{
@@ -36,7 +36,8 @@
 
     /// Checks that draining and removed nodes get no new requests.
     pub(super) fn check_drains(&mut self) {
-        let grace = DRAIN_GRACE_MS * MILLISECOND + PROTOCOL_SLACK + MAX_ROUTER_DELAY + MEASUREMENT_SLACK;
+        let grace =
+            DRAIN_GRACE_MS * MILLISECOND + PROTOCOL_TOLERANCE + MAX_ROUTER_DELAY + MEASUREMENT_TOLERANCE;
         let mut found = Vec::new();
         for (index, change) in
             self.cluster.published.iter().enumerate().filter(|(_, change)| !change.is_ready)
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -273,7 +273,7 @@
         self.set_router_delayed(router, false);
     }
 
-    /// Whether the run has idle connections that use up the routers' descriptors.
+    /// Returns whether the run has idle connections that use up the routers' descriptors.
     pub fn has_idle_connections(&self) -> bool {
         self.seed.is_multiple_of(IDLE_CONNECTIONS_EVERY)
     }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -9,8 +9,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// Interval of the empty lines that discovery sends on a watch while nothing changes.
-const HEARTBEAT_MS: u64 = 2000;
+/// Interval of the blank lines that discovery sends on a watch while nothing changes.
+const HEARTBEAT_INTERVAL_MS: u64 = 2000;
 /// Interval at which a watch checks for changes.
 const WATCH_STEP_MS: u64 = 10;
 
@@ -20,11 +20,11 @@
     /// Discovery works normally.
     #[default]
     Normal,
-    /// Watches are closed, and new calls get status 503.
+    /// Watches are closed, and new requests get status 503.
     Down,
-    /// Watches stay open without data, and calls get no response.
+    /// Watches stay open without data, and requests get no response.
     Silent,
-    /// New calls get a late response; open watches go on as normal.
+    /// New requests get a late response; open watches go on as normal.
     Slow,
 }
 
@@ -39,7 +39,7 @@
     changes: Vec<(u64, usize, Json)>,
     /// Time at which discovery first sent a revision to a router, by router and revision.
     sent: BTreeMap<(usize, u64), Micros>,
-    /// Number of calls of [`Discovery::reset_watches`]; a watch that sees it change resets its connection.
+    /// Number of calls of [`Discovery::reset_watches`]; a watch resets its connection after each change of it.
     resets: u64,
 }
 
@@ -179,7 +179,7 @@
                 write_chunk(&mut stream, &message)?;
                 self.record_sent(router, newest);
                 (revision, is_first, idle_ms) = (newest, false, 0);
-            } else if idle_ms >= HEARTBEAT_MS {
+            } else if idle_ms >= HEARTBEAT_INTERVAL_MS {
                 write_chunk(&mut stream, "\n")?;
                 idle_ms = 0;
             }
--- a/crates/soak/src/idle_connections.rs
+++ b/crates/soak/src/idle_connections.rs
@@ -8,9 +8,9 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The time between two attempts to add a connection to each router.
+/// Interval at which a connection to each router is added.
 const CONNECT_INTERVAL_MS: u64 = 20;
-/// Timeout of an attempt to connect.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Idle connections to all routers, which are closed when the value is dropped.
--- a/crates/soak/src/router_process.rs
+++ b/crates/soak/src/router_process.rs
@@ -18,7 +18,7 @@
 /// Ports on which routers listen, below the ephemeral ports of Linux.
 const ROUTER_PORTS: Range<u16> = 12_000..32_000;
 /// Number of ports that are tried before the test fails.
-const MAX_PORT_ATTEMPTS: usize = 100;
+const MAX_TRIED_PORTS: usize = 100;
 
 /// An event in the life of a router's process.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -185,7 +185,7 @@
         self.generation
     }
 
-    /// Whether the process was sent SIGTERM. It is not killed before the end of its shutdown period.
+    /// Returns whether the process was sent SIGTERM. It is not killed before the end of its shutdown period.
     pub fn is_terminated(&self) -> bool {
         self.child.is_some() && self.terminated
     }
@@ -237,7 +237,7 @@
 /// port, which the system may assign to a connection in between.
 fn free_address() -> SocketAddr {
     let listen = || TcpListener::bind(("127.0.0.1", fastrand::u16(ROUTER_PORTS))).ok();
-    let listener = std::iter::repeat_with(listen).take(MAX_PORT_ATTEMPTS).flatten().next();
+    let listener = std::iter::repeat_with(listen).take(MAX_TRIED_PORTS).flatten().next();
     listener.and_then(|listener| listener.local_addr().ok()).expect("find a free port")
 }
 
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -86,7 +86,7 @@
         Schedule { rng: Rng::with_seed(seed), actions: Vec::new(), history: Vec::new() }
     }
 
-    /// Whether no action is due in the future.
+    /// Returns whether no action is due in the future.
     pub fn is_empty(&self) -> bool {
         self.actions.is_empty()
     }
--- a/crates/test-servers/src/discovery/connection.rs
+++ b/crates/test-servers/src/discovery/connection.rs
@@ -6,8 +6,8 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The interval at which a watch receives an empty line while the endpoint list does not change.
-const EMPTY_LINE_INTERVAL: Duration = Duration::from_secs(2);
+/// The interval at which a watch receives a blank line while the endpoint list does not change.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Reads one request and responds to it.
 pub(super) fn serve(mut stream: TcpStream, shared: &Shared) -> io::Result<()> {
@@ -79,7 +79,7 @@
     }
 
     /// Waits for updates that the client does not have. Returns an empty list if there is none within
-    /// [`EMPTY_LINE_INTERVAL`], and `None` once the server is down.
+    /// [`HEARTBEAT_INTERVAL`], and `None` once the server is down.
     fn next_updates(&self) -> Option<Vec<Update>> {
         let is_idle = |state: &mut State| {
             !state.is_down && state.updates.last().is_none_or(|update| update.revision <= self.revision)
@@ -87,7 +87,7 @@
         let (state, _) = self
             .shared
             .changed
-            .wait_timeout_while(self.shared.lock(), EMPTY_LINE_INTERVAL, is_idle)
+            .wait_timeout_while(self.shared.lock(), HEARTBEAT_INTERVAL, is_idle)
             .expect("the lock is not poisoned");
         if state.is_down {
             return None;
--- a/crates/test-servers/src/proxy_view.rs
+++ b/crates/test-servers/src/proxy_view.rs
@@ -61,7 +61,8 @@
 }
 
 impl View {
-    /// Whether the proxy may send new requests to a node: the node is healthy in a cluster that a route leads to.
+    /// Returns whether the proxy may send new requests to a node: the node is healthy in a cluster that a route leads
+    /// to.
     pub fn uses(&self, address: SocketAddr) -> bool {
         let is_usable = |backend: &Backend| backend.address == address && backend.healthy;
         self.routed_clusters()
@@ -69,7 +70,8 @@
             .any(|backends| backends.iter().any(is_usable))
     }
 
-    /// Whether there is a route and every cluster that a route leads to was received together with its endpoints.
+    /// Returns whether there is a route and every cluster that a route leads to was received together with its
+    /// endpoints.
     pub fn is_complete(&self) -> bool {
         !self.routes.is_empty() && self.first_unresolved_cluster().is_none()
     }
--- a/crates/test-servers/src/resources.rs
+++ b/crates/test-servers/src/resources.rs
@@ -38,7 +38,8 @@
         found.unwrap_or_else(|| panic!("no proxy subscribes to resource type {type_url}"))
     }
 
-    /// Whether a state-of-the-world response lists every resource of the type, so that an omitted resource is removed.
+    /// Returns whether a state-of-the-world response lists every resource of the type, so that an omitted resource is
+    /// removed.
     pub fn is_listed_in_full(self) -> bool {
         matches!(self, Self::Cluster | Self::Listener)
     }
