--- a/crates/balancer/src/policy/mod.rs
+++ b/crates/balancer/src/policy/mod.rs
@@ -71,7 +71,8 @@
     const STAGES: [Stage; 5] =
         [Self::complete, Self::expire, Self::wait_for_canary, Self::admit, Self::retry_and_hedge];
 
-    /// Runs each open query through the stages, then releases unused ids and schedules the next decision.
+    /// Runs each open query through the stages, then releases unused identifiers and schedules the next
+    /// decision.
     pub(crate) fn decide_all(&mut self, now: Micros, actions: &mut dyn Actions) {
         self.update_canary_mode(now, actions);
         self.now = now;
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -18,7 +18,7 @@
     /// The query router failed to start or to serve.
     #[error(transparent)]
     Serve(#[from] ServeError),
-    /// The control plane has invalid options, failed to serve or could not list its resources.
+    /// The control plane has invalid options, failed to serve or could not print the resources of a proxy.
     #[error("{0}")]
     ControlPlane(#[source] Box<dyn std::error::Error + Send + Sync>),
     /// The resources could not be converted to JSON.
--- a/crates/fault-control/src/lib.rs
+++ b/crates/fault-control/src/lib.rs
@@ -202,7 +202,7 @@
         self.layout().delay_ms.store(delay, Ordering::SeqCst);
     }
 
-    /// The delay of [`Fault::Delay`] in milliseconds; 0 until it is set.
+    /// Returns the delay of [`Fault::Delay`] in milliseconds; 0 until it is set.
     pub fn delay_ms(&self) -> u64 {
         self.layout().delay_ms.load(Ordering::SeqCst)
     }
@@ -213,7 +213,7 @@
         self.layout().wall_clock_shift_ms.store(shift, Ordering::SeqCst);
     }
 
-    /// The shift of the wall clock in milliseconds; 0 until it is set.
+    /// Returns the shift of the wall clock in milliseconds; 0 until it is set.
     pub fn wall_clock_shift_ms(&self) -> i64 {
         self.layout().wall_clock_shift_ms.load(Ordering::SeqCst)
     }
--- a/crates/operator-config/src/file.rs
+++ b/crates/operator-config/src/file.rs
@@ -144,8 +144,9 @@
         }
     }
 
-    /// Reads the key `level` of the section `log`: `info`, which is the default, or `debug`, which adds a line with ids
-    /// for each retried attempt, each query without a complete response and each closed connection.
+    /// Reads the key `level` of the section `log`: `info`, which is the default, or `debug`, which adds lines with ids,
+    /// such as for each retry and hedged attempt, each query without a complete response and each node connection that
+    /// ends.
     pub fn log_level(&mut self) -> Result<LogLevel, ConfigError> {
         let mut log = self.section("log");
         match log.text("level", "info")?.as_str() {
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -276,7 +276,7 @@
             let remaining = request.at + request.expires_ms * MILLISECOND - attempt.at;
             let excess = attempt.wait_ms * MILLISECOND - remaining;
             peaks.deadline_excess = peaks.deadline_excess.max(excess);
-            // Near a stall the bound is wider by the delay that the machine may add; it applies at all times.
+            // The bound applies at all times; near a stall it is wider by the delay that the machine may add.
             let tolerance = if self.is_near_stall(attempt.at) {
                 MEASUREMENT_TOLERANCE
             } else {
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -151,7 +151,7 @@
         }
         println!(
             "seed {seed}: {} violations; {} requests, {} complete, {} rejected, {} failed; {} attempts, {} repeated; \
-             {} actions, {faults} system calls failed; attempts at most {} ms beyond a deadline and {} ms \
+             {} actions, {faults} faults injected into system calls; attempts at most {} ms beyond a deadline and {} ms \
              after the end of a request, longest stall {} ms, {} attempts near stalls checked by the wider bound",
             violations.len(),
             totals.requests,
