--- a/crates/balancer/src/actions.rs
+++ b/crates/balancer/src/actions.rs
@@ -49,7 +49,7 @@
 
 /// Operations that the balancer requests from a front end. Optional operations do nothing by default; a front end
 /// overrides those that it supports.
-#[allow(unused_variables, reason = "the defaults ignore what they are asked")]
+#[allow(unused_variables, reason = "the default implementations ignore their parameters")]
 pub trait Actions {
     /// Sends the next attempt of a shard request. All attempts sent to a node in one call of
     /// [`decide`](crate::Events::decide) share a batch. Without a `timeout`, the attempt times out at the
@@ -57,8 +57,8 @@
     fn send_attempt(&mut self, shard_request: ShardRequestId, node: NodeId, timeout: Option<Micros>);
     /// Cancels an attempt in flight; its end must still be reported.
     fn cancel_attempt(&mut self, attempt: AttemptId) {}
-    /// Answers a query. If its class has a second step, the first `Complete` or `Partial` does not end the
-    /// query: the shard requests of the second step follow.
+    /// Responds to a query with its result. If its class has a second step, the first `Complete` or `Partial`
+    /// does not end the query: the shard requests of the second step follow.
     fn complete_query(&mut self, query: QueryId, completion: Completion);
     /// Releases the identifiers of a query and its shard requests for reuse: the query has ended and none of
     /// its attempts is in flight.
